--- a/balancer/src/main/java/gorsestack/decision/Choice.java
+++ b/balancer/src/main/java/gorsestack/decision/Choice.java
@@ -179,8 +179,8 @@
         mark(u, false);
         up.slowness[u] = 0;
         up.newsAt[u] = 0;
-        // Rule 4: a burst at the start could spend the whole budget; it starts somewhere in its turn.
-        up.coldTurn[u] = chance.next();
+        // Rule 4: a burst at the start, or a second first turn at a restart; turns come with time alone.
+        up.coldTurn[u] = false;
         up.coldAt[u] = now;
     }
 
@@ -499,7 +499,7 @@
         up.since[u]++;
         up.remembered[u]++;
         groups[up.group[u]].hold(now, c.product, c.coming ? 0 : 1);
-        up.coldTurn[u] = 0;
+        up.coldTurn[u] = false;
         out.shot(c.id, up.entry[u].id(), c.end - now);
     }
 
@@ -669,7 +669,8 @@
      * Rule 4: whether this balancer may send to an upstream. Its turns at a cold one come as often as a warm
      * one of its group (or of all, if that is more: a group may be all cold) answers it, times the share that
      * it can do by now, at 0.3 of the allowed multiple: the rest is room for chance. With nothing learnt, a
-     * call a second by all balancers together. A turn fills by time: one of many may have less than one.
+     * call a second by all balancers together. Each turn is drawn by the time gone by, so that all together come
+     * at random. Danger: turns saved up by all go out together as a zone is lost; only the last two spans count.
      */
     private boolean hasTurn(int u) {
         if (!up.isCold(u, now, settings.rules().cold())) {
@@ -686,8 +687,9 @@
         double age = (now - up.startedAt(u)) / (double) settings.rules().cold();
         double share = settings.rules().coldShare() + (1 - settings.rules().coldShare()) * age;
         double often = rate * share * 0.3 * settings.rules().fallMultiple();
-        up.coldTurn[u] = Math.min(1, up.coldTurn[u] + often * (now - up.coldAt[u]) / 1e9);
+        long gone = Math.min(now - up.coldAt[u], 2 * settings.rules().fall());
+        up.coldTurn[u] = up.coldTurn[u] && gone == now - up.coldAt[u] || chance.next() < often * gone / 1e9;
         up.coldAt[u] = now;
-        return up.coldTurn[u] >= 1;
+        return up.coldTurn[u];
     }
 }
--- a/balancer/src/main/java/gorsestack/decision/Figures.java
+++ b/balancer/src/main/java/gorsestack/decision/Figures.java
@@ -46,7 +46,7 @@
     private final Map<Integer, Integer> marked = new HashMap<>();
     /** When it last answered anything, good or bad. */
     long[] heardAt = new long[16];
-    double[] coldTurn = new double[16];
+    boolean[] coldTurn = new boolean[16];
     long[] coldAt = new long[16];
 
     /** The id's index, a free one if it is new. */
--- a/balancer/src/main/java/gorsestack/decision/Settings.java
+++ b/balancer/src/main/java/gorsestack/decision/Settings.java
@@ -68,5 +68,6 @@
         }
     }
 
-    public record Rules(long askWithin, long cold, double coldShare, double fallMultiple) { }
+    /** fall is the span within which what is sent to a cold upstream counts together. */
+    public record Rules(long askWithin, long cold, double coldShare, double fallMultiple, long fall) { }
 }
--- a/balancer/src/main/java/gorsestack/settings/SettingsReader.java
+++ b/balancer/src/main/java/gorsestack/settings/SettingsReader.java
@@ -36,7 +36,7 @@
                         limits.path("retryAfter").asBoolean(false),
                         nanos(limits, "maxRetryAfter", 0), limits.path("peers").asBoolean(false)),
                 new Rules(nanos(rules, "askWithin", 0), nanos(rules, "cold", 0),
-                        rules.path("coldShare").asDouble(1), rules.path("fallMultiple").asDouble(1)),
+                        rules.path("coldShare").asDouble(1), rules.path("fallMultiple").asDouble(1), nanos(rules, "fall", 1_000)),
                 info.path("membershipMode").asText("").equals("subscribe"),
                 info.path("weightSource").asText("").equals("nominal"), reports(info.path("reporting")),
                 info.path("billedValueBy").asText("").equals("work"),
--- a/balancer/src/test/java/gorsestack/decision/Play.java
+++ b/balancer/src/test/java/gorsestack/decision/Play.java
@@ -67,7 +67,7 @@
                 product("read", Repeat.IDEMPOTENT, Scope.ALL), product("mark", Repeat.DEDUPLICATED, scope),
                 product("once", Repeat.NON_IDEMPOTENT, Scope.ALL)),
                 new Limits(mostShots, true, true, true, 500 * MS, false),
-                new Rules(10_000 * MS, 20_000 * MS, 0.15, 2.5), ask, false, Settings.Reports.NONE, true, 0, MS);
+                new Rules(10_000 * MS, 20_000 * MS, 0.15, 2.5, 1_000 * MS), ask, false, Settings.Reports.NONE, true, 0, MS);
     }
 
     /** The same where upstreams report calls answered a second and calls held, and balancers may tell one another. */
