--- a/balancer/src/main/java/gorsestack/serve/Configuration.java
+++ b/balancer/src/main/java/gorsestack/serve/Configuration.java
@@ -5,6 +5,7 @@
 import gorsestack.decision.Settings;
 import gorsestack.decision.Upstreams;
 import gorsestack.settings.Limits;
+import gorsestack.settings.SettingsCheck;
 import gorsestack.settings.SettingsReader;
 import gorsestack.wire.Catalog;
 import java.io.IOException;
@@ -29,11 +30,8 @@
         if (all == null || !all.isObject()) {
             throw new IOException("the configuration must be an object");
         }
+        SettingsCheck.check(all.path("limits"), all.path("settings"));
         Settings settings = SettingsReader.read(all.path("settings"));
-        if (settings.products().isEmpty()) {
-            throw new IOException("settings: no products");
-        }
-        check(all.path("settings"));
         Catalog known = all.path("known").isObject() ? Catalog.read(all.path("known"), Upstreams.Form.CACHED)
                 : new Catalog(0, new Upstreams(Upstreams.Form.CACHED, List.of()), Map.of());
         return new Configuration(told(all, environment, "name"),
@@ -59,36 +57,6 @@
                 && Objects.equals(state, other.state);
     }
 
-    /** Settings that only deployments of the newer shape have; each may be absent, none of the wrong kind. */
-    private static void check(JsonNode settings) throws IOException {
-        JsonNode me = settings.path("me");
-        JsonNode instances = settings.path("replicasOfMe");
-        want(me, me.isInt() && me.asInt() >= 0 && me.asInt() < Math.max(1, instances.asInt(1)),
-                "me must be a whole number below replicasOfMe");
-        want(instances, instances.isInt() && instances.asInt() > 0, "replicasOfMe must be a whole number above 0");
-        JsonNode mayTell = settings.path("limits").path("peers");
-        want(mayTell, mayTell.isBoolean(), "limits.peers must be true or false");
-        JsonNode source = settings.path("reporting").path("source");
-        want(source, List.of("answers", "probe", "none").contains(source.asText()),
-                "reporting.source must be answers, probe or none");
-        JsonNode columns = settings.path("reporting").path("columns");
-        want(columns, columns.isArray() && columns.size() <= 4, "reporting.columns must be up to four names");
-        for (JsonNode column : columns) {
-            want(column, column.isTextual() && !column.asText().isEmpty(), "reporting.columns must be names");
-        }
-        for (JsonNode product : settings.path("products")) {
-            JsonNode late = product.path("lateBilledValue");
-            want(late, late.isNumber() && late.asDouble() >= 0 && late.asDouble() <= 1,
-                    "lateBilledValue must be from 0 to 1");
-        }
-    }
-
-    private static void want(JsonNode given, boolean good, String what) throws IOException {
-        if (!given.isMissingNode() && !good) {
-            throw new IOException("settings: " + what + ", not " + given);
-        }
-    }
-
     /** The balancers' addresses for messages, in the order of their numbers; without any none is sent. */
     private static List<InetSocketAddress> peers(JsonNode node, Settings settings) throws IOException {
         List<InetSocketAddress> peers = new ArrayList<>();
--- a/balancer/src/main/java/gorsestack/settings/Limits.java
+++ b/balancer/src/main/java/gorsestack/settings/Limits.java
@@ -65,18 +65,23 @@
         return clientConnections + spareConnections;
     }
 
-    /** From the operators' limits and the settings. */
+    /**
+     * From the operators' limits and the settings, which have been checked. The figures that stand here as such are this program's, or the
+     * protocol's and discovery's, which are the same at every deployment; what differs among deployments comes from the settings.
+     */
     public static Limits of(JsonNode limits, JsonNode settings) {
         // The JVM holds 19 to 30 descriptors of its own: jar, modules, selectors, log. Operators have up to 16 more.
-        int sockets = Math.max(96, limits.path("sockets").asInt(1024)) - 48;
-        long connect = (long) (settings.path("limits").path("connectTimeout").asDouble(250) * MS);
-        long idle = (long) (settings.path("limits").path("connIdle").asDouble(15_000) * MS);
+        int sockets = limits.path("sockets").asInt() - 48;
+        long connect = (long) (settings.path("limits").path("connectTimeout").asDouble() * MS);
+        long idle = (long) (settings.path("limits").path("connIdle").asDouble() * MS);
         double longest = 0;
         double slo = 0;
+        double leastSlo = Double.MAX_VALUE;
         // Danger: SIGKILL waits for the longest client timeout, but no longer than for one of 3 s.
         for (JsonNode product : settings.path("products")) {
-            longest = Math.min(3_000, Math.max(longest, product.path("clientTimeout").asDouble(0)));
-            slo = Math.max(slo, product.path("latencySlo").asDouble(0));
+            longest = Math.min(3_000, Math.max(longest, product.path("clientTimeout").asDouble()));
+            slo = Math.max(slo, product.path("latencySlo").asDouble());
+            leastSlo = Math.min(leastSlo, product.path("latencySlo").asDouble());
         }
         return new Limits(
                 // Callers may hold a third of all for their calls, each call a shot: the same for both, and in each
@@ -106,8 +111,8 @@
                 Math.max(2_000 * MS, 2 * connect),
                 // Danger: an idle connection at the upstream's limit ends as a reset that may have run.
                 idle * 7 / 10,
-                // Half of a usual SLO: what has said nothing since is looked at as silent.
-                600 * MS,
+                // Half of the least SLO: what has said nothing since is looked at as silent. No less than a pause of a well one.
+                Math.max(250 * MS, (long) (leastSlo / 2 * MS)),
                 // What discovery has to tell counts as told TOLD after it had it and could be reached, so for each way a watch can fail
                 // silence + spread + answer + late <= TOLD, and time lost + retry + answer + late <= TOLD, the retry at most listRetry
                 // less the time lost. Silence is two of discovery's periods of 2 s and a part.
--- a/balancer/src/test/java/gorsestack/memory/CallsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CallsTest.java
@@ -266,7 +266,7 @@
         for (int i = 0; i < upstreams; i++) {
             all[i] = up(i + 1, "in_service");
         }
-        return new Rig("{}", all);
+        return new Rig("{\"sockets\":1024}", all);
     }
 
     private static String call(String product, String id) {
--- a/balancer/src/test/java/gorsestack/memory/SocketRig.java
+++ b/balancer/src/test/java/gorsestack/memory/SocketRig.java
@@ -157,7 +157,7 @@
     SocketRig(int count, String settingsText) throws IOException {
         ObjectMapper json = new ObjectMapper();
         JsonNode settings = json.readTree(settingsText);
-        limits = Limits.of(json.readTree("{}"), settings);
+        limits = Limits.of(json.readTree("{\"sockets\":1024}"), settings);
         sockets = new MinaNetwork(limits, this);
         network = new Network() {
             @Override
--- a/balancer/src/test/java/gorsestack/operate/ManagementTest.java
+++ b/balancer/src/test/java/gorsestack/operate/ManagementTest.java
@@ -56,7 +56,7 @@
     }
 
     private void start() throws IOException {
-        Limits limits = Limits.of(new ObjectMapper().readTree("{}"), new ObjectMapper().readTree("{}"));
+        Limits limits = Limits.of(new ObjectMapper().readTree("{\"sockets\":1024}"), new ObjectMapper().readTree("{}"));
         Management management = new Management(limits, owner, new Management.Balancer() {
             @Override
             public boolean ready() {
--- a/balancer/src/test/java/gorsestack/serve/MixedShapesTest.java
+++ b/balancer/src/test/java/gorsestack/serve/MixedShapesTest.java
@@ -89,7 +89,7 @@
                  "products":[{"name":"read","clientTimeout":2000,"latencySlo":1000,"semantics":"free"},
                    {"name":"once","clientTimeout":2000,"latencySlo":1000,"semantics":"single_shot"}]}"""
                     .formatted(me, isNew ? 40 : EACH, isNew ? "answers" : "none", isNew));
-            Limits limits = Limits.of(JSON.readTree("{}"), settings);
+            Limits limits = Limits.of(JSON.readTree("{\"sockets\":1024}"), settings);
             MinaNetwork network = new MinaNetwork(limits, owner);
             try (ServerSocket any = new ServerSocket(0, 1, LOOPBACK)) {
                 address = new InetSocketAddress(LOOPBACK, any.getLocalPort());
--- a/balancer/src/test/java/gorsestack/wire/HttpParserTest.java
+++ b/balancer/src/test/java/gorsestack/wire/HttpParserTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 class HttpParserTest {
-    private static final Limits LIMITS = Limits.of(new ObjectMapper().createObjectNode(),
+    private static final Limits LIMITS = Limits.of(new ObjectMapper().createObjectNode().put("sockets", 1024),
             new ObjectMapper().createObjectNode());
 
     private static byte[] bytes(String text) {
