--- a/balancer/src/main/java/gorsestack/serve/WarmUp.java
+++ b/balancer/src/main/java/gorsestack/serve/WarmUp.java
@@ -165,6 +165,11 @@
                 }
             }
 
+            @Override
+            public boolean asked() {
+                return false;
+            }
+
             @Override
             public boolean open() {
                 return !closed;
--- a/balancer/src/main/java/gorsestack/wire/Channel.java
+++ b/balancer/src/main/java/gorsestack/wire/Channel.java
@@ -11,6 +11,9 @@
     /** Whether the other side may still be there: false once its end, a reset or our own close is known to the socket. */
     boolean open();
 
+    /** Whether something was read that the link has not been given yet. */
+    boolean asked();
+
     /** Ends it at once, whatever is under way. */
     void close();
 
--- a/balancer/src/main/java/gorsestack/wire/ClientConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientConnection.java
@@ -256,7 +256,7 @@
             return;
         }
         // Danger: calls sent ahead have been taken; closed on, they would have no answer.
-        last |= (intake.closing() || cut) && ahead.isEmpty();
+        last |= (cut || intake.closing() && !channel.asked()) && ahead.isEmpty();
         if (uploading()) {
             turnDown(answer);
             return;
--- a/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
+++ b/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
@@ -173,7 +173,7 @@
             byte[] bytes = new byte[buffer.remaining()];
             buffer.get(bytes);
             Link link = link(session);
-            channel.reads++;
+            channel.reads = channel.reads + 1; // written by this thread alone
             channel.queued(bytes.length);
             owner.execute(() -> {
                 channel.queued(-bytes.length);
@@ -327,7 +327,7 @@
         private boolean held;
         private boolean stopped;
         /** Pieces read, and those that the link has been given; of the processor's thread and of the owner's. */
-        private int reads;
+        private volatile int reads;
         private int handled;
         private boolean finishing;
         private volatile boolean discards;
@@ -350,6 +350,11 @@
             return session.getScheduledWriteBytes();
         }
 
+        @Override
+        public boolean asked() {
+            return reads != handled;
+        }
+
         @Override
         public boolean open() {
             return !session.isClosing();
--- a/balancer/src/test/java/gorsestack/memory/CallsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CallsTest.java
@@ -75,6 +75,11 @@
             end();
         }
 
+        @Override
+        public boolean asked() {
+            return read != given;
+        }
+
         @Override
         public boolean open() {
             return open;
