--- a/balancer/src/main/java/gorsestack/decision/Choice.java
+++ b/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
@@ -19,7 +19,7 @@
  * Outcome say what goes in, Outgoing what comes out; none knows a protocol. Each input touches some calls;
  * for each the list of rules below is gone through in order until none fires; see docs/design.md.
  */
-public final class Choice {
+public final class BalancingPolicy {
     private record Rule(Predicate<Call> when, Consumer<Call> then) { }
 
     private final Settings settings;
@@ -34,7 +34,7 @@
     /** This process's part of rooms and cold budgets: all, or half beside another one of this balancer. */
     private double share = 1;
     private double spread, work, callsLately, copies, bestValue = 1e-9;
-    /** One draw a shot: drawn again for each group, hardly any would be turned away, and most would cross. */
+    /** One draw an attempt: drawn again for each group, hardly any would be turned away, and most would cross. */
     private double luck;
     private long now, calledAt, tokens;
 
@@ -49,10 +49,10 @@
         new Rule(c -> now >= c.end, this::giveUp),
         new Rule(c -> now >= c.lookAt, this::look),
         new Rule(c -> c.out == 0 && !moreMayCome(c), this::giveUp),
-        new Rule(c -> (now >= c.next || c.out == 0) && moreMayCome(c), this::shoot),
+        new Rule(c -> (now >= c.next || c.out == 0) && moreMayCome(c), this::attempt),
     };
 
-    public Choice(Settings settings, long seed, long now, Outgoing out) {
+    public BalancingPolicy(Settings settings, long seed, long now, Outgoing out) {
         this.settings = settings;
         this.limit = settings.limits();
         this.chance = new Chance(seed);
@@ -102,9 +102,9 @@
     }
 
     /** By hand: out while back is Figures.OUT, whatever the list says; then cold from that time on. */
-    public void byHand(long at, String id, long back) {
+    public void maintenance(long at, String id, long back) {
         now = at;
-        up.byHand.put(id, back);
+        up.maintenance.put(id, back);
         if (up.index.containsKey(id)) {
             restarted(up.of(id));
             regroup();
@@ -196,10 +196,10 @@
         if (left >= 0 && c != null && !c.ended) {
             c.coming = false;
             c.end = now + left - 2 * settings.step();
-            c.at[c.shots - 1] = now;
+            c.at[c.attempts - 1] = now;
             c.lookAt = now + c.product.slo() / 2;
-            up.inFlight[c.to[c.shots - 1]] += c.out;
-            groups[up.group[c.to[c.shots - 1]]].hold(now, c.product, c.out);
+            up.inFlight[c.to[c.attempts - 1]] += c.out;
+            groups[up.group[c.to[c.attempts - 1]]].hold(now, c.product, c.out);
             settle(c);
         }
     }
@@ -218,8 +218,8 @@
         // Two steps early: the clock moves in steps, and the answer has to be in before the client timeout.
         c.coming = left == Long.MAX_VALUE;
         c.end = c.coming ? left : now + (left < 0 ? c.product.clientTimeout() : left) - 2 * settings.step();
-        // Two shots unless a repeat could do harm, the second early enough for most to keep the SLO.
-        c.most = c.coming || c.product.repeat() == Repeat.NON_IDEMPOTENT ? 1 : Math.min(2, limit.mostShots());
+        // Two attempts unless a repeat could do harm, the second early enough for most to keep the SLO.
+        c.most = c.coming || c.product.repeat() == Repeat.NON_IDEMPOTENT ? 1 : Math.min(2, limit.mostAttempts());
         c.patience = Math.min((c.end - now) / c.most, (long) (0.6 * c.product.slo()));
         // Danger: a late answer worth nothing holds up calls that could be in time. Nobody asks this again.
         if (!c.coming && c.product.lateBilledValue() <= 0 && c.product.repeat() == Repeat.NON_IDEMPOTENT) {
@@ -232,16 +232,16 @@
         settle(c);
     }
 
-    public void outcome(long at, String id, int shot, Outcome outcome, long took, boolean closed) {
+    public void outcome(long at, String id, int attempt, Outcome outcome, long took, boolean closed) {
         now = at;
         Call c = calls.get(id);
-        if (c == null || shot >= c.shots || !c.open[shot]) {
+        if (c == null || attempt >= c.attempts || !c.open[attempt]) {
             return;
         }
-        int u = c.to[shot];
+        int u = c.to[attempt];
         Group g = groups[up.group[u]];
-        c.open[shot] = false;
-        c.neverRan[shot] = outcome.provesItNeverRan;
+        c.open[attempt] = false;
+        c.neverRan[attempt] = outcome.provesItNeverRan;
         c.out--;
         up.inFlight[u] -= c.coming ? 0 : 1;
         g.hold(now, c.product, c.coming ? 0 : -1);
@@ -252,7 +252,7 @@
         if (outcome == Outcome.TIMED_OUT) {
             silent(u, took);
         }
-        // An error says nothing of the time an answer takes, and a shot cut short only that it takes longer.
+        // An error says nothing of the time an answer takes, and an attempt cut short only that it takes longer.
         if (outcome == Outcome.FULFILLED || took > g.lateness * c.product.slo()) {
             learnRoom(g, c.product, took);
             double share = Math.min(2, took / (double) c.product.slo());
@@ -278,7 +278,7 @@
             out.close(up.entry[u].id());
         }
         if (outcome == Outcome.FULFILLED && !c.ended) {
-            finish(c, -1, () -> out.fulfilled(id, shot));
+            finish(c, -1, () -> out.fulfilled(id, attempt));
         }
         c.ended |= closed;
         settle(c);
@@ -389,11 +389,11 @@
 
     /**
      * Danger: an upstream that takes calls and answers none fails nothing until they time out. With none
-     * answered since a shot half an SLO ago, it counts as sick until it answers in time.
+     * answered since an attempt half an SLO ago, it counts as sick until it answers in time.
      */
     private void look(Call c) {
         c.lookAt = Long.MAX_VALUE;
-        int last = c.shots - 1;
+        int last = c.attempts - 1;
         if (c.open[last] && up.heardAt[c.to[last]] < c.at[last]) {
             mark(c.to[last], true);
         }
@@ -402,10 +402,10 @@
         }
     }
 
-    /** A streamed answer has begun: the call is the client's and that shot's from here on. */
-    public void started(long at, String id, int shot) {
+    /** A streamed answer has begun: the call is the client's and that attempt's from here on. */
+    public void started(long at, String id, int attempt) {
         now = at;
-        leave(calls.get(id), shot);
+        leave(calls.get(id), attempt);
     }
 
     public void clientGone(long at, String id) {
@@ -444,7 +444,7 @@
         if (c.ended && c.out == 0) {
             calls.remove(c.id);
             byToken.remove(c.token);
-            Arrays.stream(c.to, 0, c.shots).forEach(u -> up.remembered[u]--);
+            Arrays.stream(c.to, 0, c.attempts).forEach(u -> up.remembered[u]--);
         }
         long due = Math.min(c.lookAt, moreMayCome(c) ? Math.min(c.next, c.end) : c.end);
         if (!c.ended && due < c.wakeAt) {
@@ -453,12 +453,12 @@
         }
     }
 
-    /** Rule 2: whether a further shot is allowed at all, now or later. */
+    /** Rule 2: whether a further attempt is allowed at all, now or later. */
     private boolean moreMayCome(Call c) {
         int anchor = c.anchor();
         // Danger: two quick failures leave most of the time unused; two are enough beside one that is out.
-        if (c.bound || c.shots >= c.most && c.out > 0 && anchor >= 0
-                || c.shots >= Math.min(Call.MOST, limit.mostShots())) {
+        if (c.bound || c.attempts >= c.most && c.out > 0 && anchor >= 0
+                || c.attempts >= Math.min(Call.MOST, limit.mostAttempts())) {
             return false;
         }
         return anchor < 0 || c.product.repeat() == Repeat.IDEMPOTENT
@@ -476,8 +476,8 @@
     }
 
     /** Danger: when all is slow every timer trips, and the copies slow it further. */
-    private void shoot(Call c) {
-        c.next = c.shots == 0 ? now + c.patience : c.next + c.patience;
+    private void attempt(Call c) {
+        c.next = c.attempts == 0 ? now + c.patience : c.next + c.patience;
         // Danger: after a failure a call waits for its next copy with nothing out. Sent at once it takes no
         // time twice, so the budget of copies gives three for one; what is proven not run costs nothing.
         double price = c.anchor() < 0 ? 0 : c.out == 0 ? 0.3 : 1;
@@ -489,10 +489,10 @@
             return;
         }
         copies -= price;
-        c.to[c.shots] = u;
-        c.at[c.shots] = now;
-        c.open[c.shots] = true;
-        c.shots++;
+        c.to[c.attempts] = u;
+        c.at[c.attempts] = now;
+        c.open[c.attempts] = true;
+        c.attempts++;
         c.out++;
         c.lookAt = c.coming ? Long.MAX_VALUE : now + c.product.slo() / 2;
         up.inFlight[u] += c.coming ? 0 : 1;
@@ -500,7 +500,7 @@
         up.remembered[u]++;
         groups[up.group[u]].hold(now, c.product, c.coming ? 0 : 1);
         up.coldTurn[u] = false;
-        out.shot(c.id, up.entry[u].id(), c.end - now);
+        out.attempt(c.id, up.entry[u].id(), c.end - now);
     }
 
     private void giveUp(Call c) {
@@ -516,14 +516,14 @@
     private void finish(Call c, int kept, Runnable answer) {
         answer.run();
         c.ended = true;
-        for (int i = 0; limit.mayCancel() && i < c.shots; i++) {
+        for (int i = 0; limit.mayCancel() && i < c.attempts; i++) {
             if (c.open[i] && i != kept) {
                 out.cancel(c.id, i);
             }
         }
     }
 
-    /** How long shots to a group take, as a share of the SLO, over the last twenty or the last SLO. */
+    /** How long attempts to a group take, as a share of the SLO, over the last twenty or the last SLO. */
     private void learnRoom(Group g, Product product, double took) {
         // Cut off at four times the mean: a few hung upstreams, here or a tier below, are no crowd.
         double share = Math.min(Math.max(0.1, 4 * g.lateness), Math.min(2, took / product.slo()));
@@ -540,14 +540,14 @@
                 g.cutAt = now;
             }
         } else if (g.held > 0.6 * g.room) {
-            // A twentieth a shot: rooms grow by as much of themselves at any size of fleet.
+            // A twentieth an attempt: rooms grow by as much of themselves at any size of fleet.
             g.room += 0.05;
         }
     }
 
     /**
      * Danger: more comes in than the upstreams can do, all of it waits, and all is late. A group gets as
-     * many shots as it answers in a third or so of the latency SLO, less for products of less value or where
+     * many attempts as it answers in a third or so of the latency SLO, less for products of less value or where
      * less time is left (danger: a storm of tries that can hardly be in time). What exceeds that goes to the
      * next group, what exceeds all is turned away by the first tier; later ones hold work already paid for.
      * The mean of the last SLO keeps within the room, the moment may pass it by a root: what one of many
@@ -571,8 +571,8 @@
         int anchor = c.anchor();
         int start = reported ? lead() : activeGroup();
         luck = reported ? chance.next() : 0;
-        // One in fifty first shots is a trial; never of a call that has this one shot only.
-        int sickOne = c.shots == 0 && c.most > 1 && chance.next() < 1 / 50.0 ? trial() : -1;
+        // One in fifty first attempts is a trial; never of a call that has this one attempt only.
+        int sickOne = c.attempts == 0 && c.most > 1 && chance.next() < 1 / 50.0 ? trial() : -1;
         if (sickOne >= 0) {
             return sickOne;
         }
@@ -580,7 +580,7 @@
         // calls a second, go first, in this balancer's own order: each is met again within seconds.
         int few = 3 + (int) (callsLately / 18);
         boolean anyWell = Arrays.stream(groups).anyMatch(g -> g.ill < g.members.length);
-        // Danger: with all rooms taken, a lost zone's upstreams have room, and shots past it fail there.
+        // Danger: with all rooms taken, a lost zone's upstreams have room, and attempts past it fail there.
         // The first tier tries sick ones (but for trials) only when none is well. With nothing out one that
         // failed is tried once more: a deduplicated call may have no other.
         int levels = settings.tier() == 0 && anyWell ? 3 : 4;
@@ -596,8 +596,8 @@
                     int u = g.members[(g.cursor + k) % n];
                     double speed = speed(u);
                     if ((level > 0 || up.inFlight[u] <= crowd * speed) && (level > 2 || !up.sick[u])
-                            && (level > 2 || level > 1 && c.out == 0 || c.shots == 0
-                            || Arrays.stream(c.to, 0, c.shots).noneMatch(to -> to == u))
+                            && (level > 2 || level > 1 && c.out == 0 || c.attempts == 0
+                            || Arrays.stream(c.to, 0, c.attempts).noneMatch(to -> to == u))
                             && dropsRepeat(c, anchor, u) && hasTurn(u)) {
                         any = true;
                         // Turns in proportion to speed: the quickest take each, others let some pass.
@@ -618,7 +618,7 @@
      * How much more than its group's mean an upstream can do: by its nominal size, where the settings have
      * one, and by its answer times against its like (else its group). Danger: with as many calls as a fast
      * one, a slow upstream is late with all, and one of many balancers sees too few to tell; the usual time
-     * of its like serves until it does, and squared where one of many cannot see crowds by its own shots in
+     * of its like serves until it does, and squared where one of many cannot see crowds by its own attempts in
      * flight. Within a quarter and twice: few answers say little.
      */
     private double speed(int u) {
--- a/balancer/src/main/java/gorsestack/decision/Call.java
+++ b/balancer/src/main/java/gorsestack/decision/Call.java
@@ -2,9 +2,9 @@
 
 import gorsestack.decision.Settings.Product;
 
-/** One API call that is open, or has shots out: what was asked, and what has been done for it. */
+/** One API call that is open, or has attempts out: what was asked, and what has been done for it. */
 final class Call {
-    /** Whatever the settings allow: eight shots proven not run mean that nothing is there. */
+    /** Whatever the settings allow: eight attempts proven not run mean that nothing is there. */
     static final int MOST = 8;
 
     String id;
@@ -20,7 +20,7 @@
     long next;
     long lookAt = Long.MAX_VALUE;
     long wakeAt = Long.MAX_VALUE;
-    int shots;
+    int attempts;
     int out;
     boolean ended;
     final int[] to = new int[MOST];
@@ -28,9 +28,9 @@
     final boolean[] open = new boolean[MOST];
     final boolean[] neverRan = new boolean[MOST];
 
-    /** The first shot that may have run or is out, -1 if there is none. */
+    /** The first attempt that may have run or is out, -1 if there is none. */
     int anchor() {
-        for (int i = 0; i < shots; i++) {
+        for (int i = 0; i < attempts; i++) {
             if (!neverRan[i]) {
                 return i;
             }
--- a/balancer/src/main/java/gorsestack/decision/Figures.java
+++ b/balancer/src/main/java/gorsestack/decision/Figures.java
@@ -10,7 +10,7 @@
 
 /**
  * What one balancer knows of each upstream: parallel arrays under an index that an id keeps until it is gone and
- * no call remembers a shot to it. Danger: ids are ever new, and what is known of the old ones would fill the memory.
+ * no call remembers an attempt to it. Danger: ids are ever new, and what is known of the old ones would fill the memory.
  */
 final class Figures {
     /** Called back never, so far. */
@@ -18,7 +18,7 @@
 
     final Map<String, Integer> index = new HashMap<>();
     /** What operators said, by name, so that neither the list nor another index lifts it: when called back, or OUT. */
-    final Map<String, Long> byHand = new HashMap<>();
+    final Map<String, Long> maintenance = new HashMap<>();
     private final Map<List<Object>, Integer> kinds = new HashMap<>();
     private final ArrayDeque<Integer> free = new ArrayDeque<>();
     /** All indexes are below this. */
@@ -28,7 +28,7 @@
     /** What stands for the same group, kind and size; under it their usual answer time. */
     int[] alike = new int[16];
     double[] usual = new double[16];
-    /** Calls that remember a shot to it: where the first went decides where a copy may go. */
+    /** Calls that remember an attempt to it: where the first went decides where a copy may go. */
     int[] remembered = new int[16];
     double[] turn = new double[16];
     int[] inFlight = new int[16];
@@ -39,7 +39,7 @@
     long[] newsAt = new long[16];
     /** Calls that it holds, of all balancers, as reported. */
     double[] held = new double[16];
-    /** Shots of this balancer's since then. */
+    /** Attempts of this balancer's since then. */
     int[] since = new int[16];
     /** What stands for its id in balancers' messages. */
     int[] mark = new int[16];
@@ -84,14 +84,14 @@
         return u;
     }
 
-    /** Whether shots may go there: the list says so, and nobody has taken it out by hand. */
+    /** Whether attempts may go there: the list says so, and nobody has taken it out by hand. */
     boolean ready(int u) {
-        return entry[u].state() == Upstreams.State.READY && byHand.getOrDefault(entry[u].id(), 0L) != OUT;
+        return entry[u].state() == Upstreams.State.READY && maintenance.getOrDefault(entry[u].id(), 0L) != OUT;
     }
 
     /** When it last started, as the list says or as it was called back by hand; 0 when long ago. */
     long startedAt(int u) {
-        long back = byHand.getOrDefault(entry[u].id(), 0L);
+        long back = maintenance.getOrDefault(entry[u].id(), 0L);
         return back == OUT ? entry[u].startedAt() : Math.max(entry[u].startedAt(), back);
     }
 
--- a/balancer/src/main/java/gorsestack/decision/Group.java
+++ b/balancer/src/main/java/gorsestack/decision/Group.java
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Counts a shot in or out, and keeps the mean held over the last SLO or so. */
+    /** Counts an attempt in or out, and keeps the mean held over the last SLO or so. */
     void hold(long now, Settings.Product product, int change) {
         double weight = Math.exp((heldAt - now) / (double) product.slo());
         heldLately = held + (heldLately - held) * weight;
--- a/balancer/src/main/java/gorsestack/decision/Outcome.java
+++ b/balancer/src/main/java/gorsestack/decision/Outcome.java
@@ -1,6 +1,6 @@
 package gorsestack.decision;
 
-/** How one shot, or one probe, ended. */
+/** How one attempt, or one probe, ended. */
 public enum Outcome {
     FULFILLED(false),
     /** The upstream answered with an error. */
@@ -10,7 +10,7 @@
     TIMED_OUT(false),
     /** No connection. */
     UNREACHABLE(true),
-    /** The connection dropped while the shot was out. */
+    /** The connection dropped while the attempt was out. */
     BROKEN(false),
     /** An answer that cannot be read, or that finds fault with the call: it may have run, and the upstream be well. */
     SPOILT(false),
--- a/balancer/src/main/java/gorsestack/decision/Outgoing.java
+++ b/balancer/src/main/java/gorsestack/decision/Outgoing.java
@@ -5,13 +5,13 @@
  */
 public interface Outgoing {
 
-    /** Sends the call's next shot, numbered from 0, to give up after that many nanoseconds. */
-    void shot(String apiCall, String upstream, long giveUpAfter);
+    /** Sends the call's next attempt, numbered from 0, to give up after that many nanoseconds. */
+    void attempt(String apiCall, String upstream, long giveUpAfter);
 
-    void cancel(String apiCall, int shot);
+    void cancel(String apiCall, int attempt);
 
-    /** Final answer: the client gets what this shot brought. */
-    void fulfilled(String apiCall, int shot);
+    /** Final answer: the client gets what this attempt brought. */
+    void fulfilled(String apiCall, int attempt);
 
     /** Final answer: trying again is harmless; advice of 0 gives none. */
     void rateLimited(String apiCall, long comeBackAfter);
@@ -19,7 +19,7 @@
     /** Final answer: no promise. */
     void errored(String apiCall);
 
-    /** Asks for Choice.wake with this token at that time. */
+    /** Asks for BalancingPolicy.wake with this token at that time. */
     void wake(long token, long at);
 
     /** Sends another balancer, by its index, at most 256 bytes, which may be lost. */
--- a/balancer/src/main/java/gorsestack/decision/Settings.java
+++ b/balancer/src/main/java/gorsestack/decision/Settings.java
@@ -44,7 +44,7 @@
     public record Product(String name, Repeat repeat, Scope scope, long repeatWindow, long slo,
             long clientTimeout, double billedValue, double lateBilledValue) { }
 
-    public record Limits(int mostShots, boolean mayCancel, boolean secondCopies, boolean retryAfter,
+    public record Limits(int mostAttempts, boolean mayCancel, boolean secondCopies, boolean retryAfter,
             long maxRetryAfter, boolean peers) { }
 
     /** A load report's columns, and where it has the calls held and those answered a second; -1 where not. */
--- a/balancer/src/main/java/gorsestack/fleet/store/Words.java
+++ b/balancer/src/main/java/gorsestack/fleet/store/JsonForm.java
@@ -13,10 +13,10 @@
 import java.util.TreeMap;
 
 /** What members commit, as JSON; read back it is the same. */
-final class Words {
+final class JsonForm {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Words() { }
+    private JsonForm() { }
 
     static ObjectNode object() {
         return JSON.createObjectNode();
--- a/balancer/src/main/java/gorsestack/fleet/store/MemberLog.java
+++ b/balancer/src/main/java/gorsestack/fleet/store/MemberLog.java
@@ -83,7 +83,7 @@
                 }
                 return;
             }
-            take((ObjectNode) Words.read(json));
+            take((ObjectNode) JsonForm.read(json));
             from = end + 1;
         }
     }
@@ -167,16 +167,16 @@
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-        add(Words.object().put("is", "local").put("form", FORM).put("votes", state.isVoting()).set("member", Words.of((Member) state.getLocalEndpoint())));
+        add(JsonForm.object().put("is", "local").put("form", FORM).put("votes", state.isVoting()).set("member", JsonForm.of((Member) state.getLocalEndpoint())));
         flush();
     }
 
     private static ObjectNode members(RaftGroupMembersView view) {
-        ObjectNode node = Words.object().put("index", view.getLogIndex());
+        ObjectNode node = JsonForm.object().put("index", view.getLogIndex());
         ArrayNode all = node.putArray("all");
-        view.getMembers().forEach(m -> all.add(Words.of((Member) m)));
+        view.getMembers().forEach(m -> all.add(JsonForm.of((Member) m)));
         ArrayNode voting = node.putArray("voting");
-        view.getVotingMembers().forEach(m -> voting.add(Words.of((Member) m)));
+        view.getVotingMembers().forEach(m -> voting.add(JsonForm.of((Member) m)));
         return node;
     }
 
@@ -187,7 +187,7 @@
 
     private static Collection<RaftEndpoint> endpoints(JsonNode all) {
         List<RaftEndpoint> some = new ArrayList<>();
-        all.forEach(m -> some.add(Words.member(m)));
+        all.forEach(m -> some.add(JsonForm.member(m)));
         return some;
     }
 
@@ -199,9 +199,9 @@
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-        ObjectNode node = Words.object().put("is", "term").put("term", state.getTerm());
+        ObjectNode node = JsonForm.object().put("is", "term").put("term", state.getTerm());
         if (state.getVotedFor() != null) {
-            node.set("voted", Words.of((Member) state.getVotedFor()));
+            node.set("voted", JsonForm.of((Member) state.getVotedFor()));
         }
         add(node);
         flush();
@@ -210,33 +210,33 @@
     @Override
     public void persistLogEntries(List<LogEntry> some) throws IOException {
         for (LogEntry e : some) {
-            add(Words.object().put("is", "entry").put("index", e.getIndex()).put("term", e.getTerm()).set("operation", Words.of(e.getOperation())));
+            add(JsonForm.object().put("is", "entry").put("index", e.getIndex()).put("term", e.getTerm()).set("operation", JsonForm.of(e.getOperation())));
         }
     }
 
     @Override
     @SuppressWarnings("unchecked")
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        ObjectNode node = Words.object().put("is", "chunk").put("index", chunk.getIndex()).put("term", chunk.getTerm())
+        ObjectNode node = JsonForm.object().put("is", "chunk").put("index", chunk.getIndex()).put("term", chunk.getTerm())
                 .put("chunk", chunk.getSnapshotChunkIndex()).put("chunks", chunk.getSnapshotChunkCount());
         node.set("members", members(chunk.getGroupMembersView()));
-        node.set("entries", Words.of((Map<String, Entry>) chunk.getOperation()));
+        node.set("entries", JsonForm.of((Map<String, Entry>) chunk.getOperation()));
         add(node);
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        add(Words.object().put("is", "from").put("index", index));
+        add(JsonForm.object().put("is", "from").put("index", index));
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        add(Words.object().put("is", "until").put("index", index));
+        add(JsonForm.object().put("is", "until").put("index", index));
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        add(Words.object().put("is", "unchunk").put("index", index));
+        add(JsonForm.object().put("is", "unchunk").put("index", index));
     }
 
     /** What the next process begins with; null where there is nothing yet. */
@@ -250,7 +250,7 @@
         for (ObjectNode c : chunks) {
             if (c.path("index").asLong() == index) {
                 last.add(MODELS.createSnapshotChunkBuilder().setIndex(index).setTerm(c.path("term").asInt())
-                        .setOperation(Words.entries(c.path("entries"))).setSnapshotChunkIndex(c.path("chunk").asInt())
+                        .setOperation(JsonForm.entries(c.path("entries"))).setSnapshotChunkIndex(c.path("chunk").asInt())
                         .setSnapshotChunkCount(c.path("chunks").asInt()).setGroupMembersView(members(c.path("members"))).build());
             }
         }
@@ -261,11 +261,11 @@
         List<LogEntry> log = new ArrayList<>();
         for (ObjectNode e : entries.tailMap(index, false).values()) {
             log.add(MODELS.createLogEntryBuilder().setIndex(e.path("index").asLong()).setTerm(e.path("term").asInt())
-                    .setOperation(Words.operation(e.path("operation"))).build());
+                    .setOperation(JsonForm.operation(e.path("operation"))).build());
         }
         RaftTermPersistentState held = MODELS.createRaftTermPersistentStateBuilder().setTerm(term == null ? 0 : term.path("term").asInt())
-                .setVotedFor(term == null || !term.has("voted") ? null : Words.member(term.path("voted"))).build();
-        return new RestoredRaftState(MODELS.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(Words.member(local.path("member")))
+                .setVotedFor(term == null || !term.has("voted") ? null : JsonForm.member(term.path("voted"))).build();
+        return new RestoredRaftState(MODELS.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(JsonForm.member(local.path("member")))
                 .setVoting(local.path("votes").asBoolean()).build(), members(members), held, snapshot, log);
     }
 }
--- a/balancer/src/main/java/gorsestack/memory/Calls.java
+++ b/balancer/src/main/java/gorsestack/memory/Calls.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import gorsestack.decision.Choice;
+import gorsestack.decision.BalancingPolicy;
 import gorsestack.decision.Outcome;
 import gorsestack.decision.Outgoing;
 import gorsestack.decision.Settings;
@@ -22,7 +22,7 @@
 import gorsestack.wire.Flow;
 import gorsestack.wire.LoadReport;
 import gorsestack.wire.Network;
-import gorsestack.wire.Owner;
+import gorsestack.wire.EventLoop;
 import gorsestack.wire.Request;
 import gorsestack.wire.UpstreamConnection;
 import java.net.InetSocketAddress;
@@ -35,7 +35,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The calls and shots that are out. Drives the module, and does what it says; decides nothing. */
+/** The calls and attempts that are out. Drives the module, and does what it says; decides nothing. */
 public final class Calls implements Outgoing, ClientConnection.Intake, Discovery.Listener, Management.Balancer {
     private static final System.Logger LOG = System.getLogger("gorsestack.calls");
 
@@ -49,7 +49,7 @@
         Runnable net;
         boolean ended;
         int out;
-        final List<Shot> shots = new ArrayList<>();
+        final List<Attempt> attempts = new ArrayList<>();
 
         void end() {
             ended = true;
@@ -59,7 +59,7 @@
         }
     }
 
-    private final class Shot implements UpstreamConnection.Waiting {
+    private final class Attempt implements UpstreamConnection.Waiting {
         Call call;
         int number;
         String upstream;
@@ -84,24 +84,24 @@
                     timer.run();
                 }
                 call.out--;
-                trace("{0} shot {1} over: {2}", call.id, number, outcome);
-                choice.outcome(tick(), call.id, number, outcome, now - at, call.ended);
+                trace("{0} attempt {1} over: {2}", call.id, number, outcome);
+                policy.outcome(tick(), call.id, number, outcome, now - at, call.ended);
                 forgetIfOver(call);
             }
         }
 
         @Override
         public void reported(String report) {
-            choice.report(tick(), upstream, reports.row(report));
+            policy.report(tick(), upstream, reports.row(report));
         }
 
         @Override
         public boolean mayBeSent() {
-            long time = owner.now();
+            long time = eventLoop.now();
             return !over && !call.ended && call.client.there() && time < until && time < sendBy;
         }
 
-        /** Gives the shot up; late bytes reach no later call, as its connection goes with it. */
+        /** Gives the attempt up; late bytes reach no later call, as its connection goes with it. */
         void close() {
             if (!over && connection != null) {
                 connection.giveUp();
@@ -111,14 +111,14 @@
 
     /** Whether the story of each call is told; asked once, as the hot path has no time for it. */
     private final boolean traced = LOG.isLoggable(System.Logger.Level.DEBUG);
-    private final Owner owner;
+    private final EventLoop eventLoop;
     private final Limits limits;
     private final Network network;
     private final Flow flow;
     private final Pool pool;
     private final long step;
     private final Random random;
-    private final Choice choice;
+    private final BalancingPolicy policy;
     private final LoadReport reports;
     private Mail mail;
     private Listing listing;
@@ -133,7 +133,7 @@
     private final Map<String, Settings.Product> products = new HashMap<>();
     private final Map<String, Call> calls = new HashMap<>();
     private final Map<ClientConnection, Call> byClient = new HashMap<>();
-    private final Set<Shot> out = new LinkedHashSet<>();
+    private final Set<Attempt> out = new LinkedHashSet<>();
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
     private final Discovery discovery;
     /** The time of the input that the module is at; what it asks for counts from there. */
@@ -150,29 +150,29 @@
     private long lastAnswer = Long.MAX_VALUE;
     private Runnable whenQuiet;
 
-    public Calls(Owner owner, Limits limits, Settings settings, long seed, Network network,
+    public Calls(EventLoop eventLoop, Limits limits, Settings settings, long seed, Network network,
             InetSocketAddress discovery, long index) {
-        this.owner = owner;
+        this.eventLoop = eventLoop;
         this.limits = limits;
         this.network = network;
         this.flow = new Flow(limits);
         this.step = settings.step();
-        this.pool = new Pool(network, limits, owner, flow);
+        this.pool = new Pool(network, limits, eventLoop, flow);
         this.random = new Random(seed);
         mostClients = limits.clientConnections();
-        this.discovery = new Discovery(network, owner, limits, discovery, index, this);
+        this.discovery = new Discovery(network, eventLoop, limits, discovery, index, this);
         settings.products().forEach(p -> products.put(p.name(), p));
         reports = new LoadReport(settings.reports().columns());
-        choice = new Choice(settings.repeatsWithin(limits.wayOut()), seed, tick(), this);
+        policy = new BalancingPolicy(settings.repeatsWithin(limits.wayOut()), seed, tick(), this);
         if (!settings.asksForList()) {
             // Lists are pushed: what there is to tell counts as told from the first moment, so the watch is opened at once.
-            owner.at(owner.now() + (long) (random.nextDouble() * limits.watchSpread()), this::watch);
+            eventLoop.at(eventLoop.now() + (long) (random.nextDouble() * limits.watchSpread()), this::watch);
         }
-        owner.at(owner.now() + limits.sweep(), this::sweep);
+        eventLoop.at(eventLoop.now() + limits.sweep(), this::sweep);
     }
 
     private long tick() {
-        now = owner.now();
+        now = eventLoop.now();
         return now;
     }
 
@@ -195,7 +195,7 @@
         Call c = new Call();
         c.id = request.id();
         for (int n = 2; calls.containsKey(c.id); n++) {
-            c.id = request.id() + "/" + n; // a shot of an answered one is not over yet; the module knows each by its id
+            c.id = request.id() + "/" + n; // an attempt of an answered one is not over yet; the module knows each by its id
         }
         c.client = from;
         c.request = request;
@@ -207,7 +207,7 @@
             brake.asked(now, request.again());
         }
         trace("{0} taken: {1}, {2} ms left", c.id, request.product(), left / 1_000_000);
-        choice.apiCall(tick(), c.id, request.product(), null, left);
+        policy.apiCall(tick(), c.id, request.product(), null, left);
     }
 
     private long longest(Request request) {
@@ -218,7 +218,7 @@
     private long timeLeft(Call c, long arrivedAt) {
         long left = longest(c.request);
         long end = Math.min(arrivedAt + left, lastAnswer);
-        c.net = owner.at(end - limits.net(), () -> unanswered(c));
+        c.net = eventLoop.at(end - limits.net(), () -> unanswered(c));
         // Rule 1: on a core that others share, what is answered last may wait for its way out; seen at a start.
         long wayOut = Math.min(limits.wayOut(), left / 10);
         return Math.max(0, end - wayOut - tick());
@@ -228,7 +228,7 @@
     public void bound(ClientConnection from) {
         Call c = byClient.get(from);
         if (c != null) {
-            choice.body(tick(), c.id, -1);
+            policy.body(tick(), c.id, -1);
         }
     }
 
@@ -237,14 +237,14 @@
         Call c = byClient.get(from);
         if (c != null) {
             long left = timeLeft(c, arrivedAt);
-            for (Shot s : c.shots) {
+            for (Attempt s : c.attempts) {
                 s.at = now;
                 s.until = now + left - 2 * step;
                 if (!s.over) {
                     timeOut(s);
                 }
             }
-            choice.body(now, c.id, left);
+            policy.body(now, c.id, left);
         }
     }
 
@@ -264,7 +264,7 @@
     private void cutOff(Call c) {
         if (!c.ended) {
             answer(c.id, Answer.own(504, "", "no answer in time"));
-            choice.clientGone(tick(), c.id);
+            policy.clientGone(tick(), c.id);
         }
     }
 
@@ -274,7 +274,7 @@
         if (c != null && !c.ended) {
             c.end();
             trace("{0} given up by its client", c.id);
-            choice.clientGone(tick(), c.id);
+            policy.clientGone(tick(), c.id);
             forgetIfOver(c);
         }
     }
@@ -285,16 +285,16 @@
             listing.news(catalog);
         }
         if (returning != null && catalog.news().form() != Upstreams.Form.CACHED) {
-            returning.listed(owner.now());
+            returning.listed(eventLoop.now());
         }
-        choice.upstreams(tick(), catalog.news());
+        policy.upstreams(tick(), catalog.news());
         pool.news(catalog);
         if (kept != null && catalog.news().form() != Upstreams.Form.CACHED) {
-            double[][] rows = Restore.shrunk(kept, choice.learnt());
+            double[][] rows = Restore.shrunk(kept, policy.learnt());
             kept = null;
             if (rows != null) {
                 LOG.log(System.Logger.Level.INFO, "the fleet has shrunk since; rooms begin with as much less");
-                choice.learnt(now, rows);
+                policy.learnt(now, rows);
             }
         }
     }
@@ -309,11 +309,11 @@
     // What the module does.
 
     @Override
-    public void shot(String apiCall, String upstream, long giveUpAfter) {
+    public void attempt(String apiCall, String upstream, long giveUpAfter) {
         Call c = calls.get(apiCall);
-        Shot s = new Shot();
+        Attempt s = new Attempt();
         s.call = c;
-        s.number = c.shots.size();
+        s.number = c.attempts.size();
         s.upstream = upstream;
         s.at = now;
         s.until = s.at + giveUpAfter;
@@ -322,20 +322,20 @@
         if (repeat(c.request.product()) == Settings.Repeat.DEDUPLICATED) {
             s.sendBy = repeatEnds(c);
         }
-        c.shots.add(s);
+        c.attempts.add(s);
         c.out++;
         if (!c.client.there()) {
             // Danger: an event loop behind its queue; the client's end is in it, and comes to no attempt.
-            owner.execute(() -> gone(c.client));
-            owner.execute(() -> s.ended(Outcome.NOT_SENT, null));
+            eventLoop.execute(() -> gone(c.client));
+            eventLoop.execute(() -> s.ended(Outcome.NOT_SENT, null));
             return;
         }
         s.connection = pool.take(upstream,
                 repeat(c.request.product()) != Settings.Repeat.NON_IDEMPOTENT);
-        trace("{0} shot {1} to {2}", c.id, s.number, upstream);
+        trace("{0} attempt {1} to {2}", c.id, s.number, upstream);
         if (s.connection == null) {
             notSent++;
-            owner.execute(() -> s.ended(Outcome.NOT_SENT, null));
+            eventLoop.execute(() -> s.ended(Outcome.NOT_SENT, null));
             return;
         }
         out.add(s);
@@ -346,8 +346,8 @@
         timeOut(s);
     }
 
-    private void timeOut(Shot s) {
-        s.timer = owner.at(s.until, () -> {
+    private void timeOut(Attempt s) {
+        s.timer = eventLoop.at(s.until, () -> {
             s.close();
             s.ended(Outcome.TIMED_OUT, null);
         });
@@ -355,22 +355,22 @@
 
     /** When a repeat has to be sent at the latest: counted from the decision on the first that may have run, which is before it ran. */
     private long repeatEnds(Call c) {
-        return c.shots.stream().filter(s -> !s.neverRan).findFirst()
+        return c.attempts.stream().filter(s -> !s.neverRan).findFirst()
                 .map(s -> s.at + products.get(c.request.product()).repeatWindow() - limits.wayOut()).orElse(Long.MAX_VALUE);
     }
 
     @Override
-    public void cancel(String apiCall, int shot) {
-        Shot s = calls.get(apiCall).shots.get(shot);
+    public void cancel(String apiCall, int attempt) {
+        Attempt s = calls.get(apiCall).attempts.get(attempt);
         // Rule 1: closed before anything else is looked at, or a connection that comes up in between would
         // still get its request. The module is told after it has finished what it is at.
         s.close();
-        owner.execute(() -> s.ended(owner.now() >= s.until ? Outcome.TIMED_OUT : Outcome.CANCELLED, null));
+        eventLoop.execute(() -> s.ended(eventLoop.now() >= s.until ? Outcome.TIMED_OUT : Outcome.CANCELLED, null));
     }
 
     @Override
-    public void fulfilled(String apiCall, int shot) {
-        answer(apiCall, calls.get(apiCall).shots.get(shot).answer);
+    public void fulfilled(String apiCall, int attempt) {
+        answer(apiCall, calls.get(apiCall).attempts.get(attempt).answer);
     }
 
     @Override
@@ -381,7 +381,7 @@
 
     @Override
     public void errored(String apiCall) {
-        boolean late = calls.get(apiCall).shots.stream().anyMatch(s -> now >= s.until);
+        boolean late = calls.get(apiCall).attempts.stream().anyMatch(s -> now >= s.until);
         answer(apiCall, late ? Answer.own(504, "", "no answer in time") : Answer.own(502, "", "no upstream answered"));
     }
 
@@ -390,7 +390,7 @@
         if (!c.ended) {
             c.end();
             if (returning != null) {
-                returning.answered(owner.now(), answer.status() == 200);
+                returning.answered(eventLoop.now(), answer.status() == 200);
             }
             trace("{0} answered {1}", c.id, answer.status());
             byClient.remove(c.client);
@@ -401,7 +401,7 @@
 
     @Override
     public void wake(long token, long at) {
-        owner.at(at, () -> choice.wake(tick(), token));
+        eventLoop.at(at, () -> policy.wake(tick(), token));
     }
 
     @Override
@@ -420,7 +420,7 @@
     public void heard(int peer, byte[] message) {
         byte[] news = mail == null ? null : mail.heard(peer, message);
         if (news != null) {
-            choice.peer(tick(), news);
+            policy.peer(tick(), news);
         }
     }
 
@@ -431,7 +431,7 @@
 
     @Override
     public void watch() {
-        if (owner.now() >= asksAt) {
+        if (eventLoop.now() >= asksAt) {
             discovery.watch();
         }
     }
@@ -467,7 +467,7 @@
         clients.add(from);
         if (clients.size() > mostClients) {
             // Behind what has been read by now: a call that waits its turn is not closed on.
-            owner.execute(this::makeRoom);
+            eventLoop.execute(this::makeRoom);
         }
     }
 
@@ -479,7 +479,7 @@
         }
         if (over > 0 && !roomAsked) {
             roomAsked = true;
-            owner.at(owner.now() + limits.fresh() / 2, () -> {
+            eventLoop.at(eventLoop.now() + limits.fresh() / 2, () -> {
                 roomAsked = false;
                 makeRoom();
             });
@@ -526,7 +526,7 @@
     public void open() {
         ready = true;
         if (returning != null) {
-            returning.ready(owner.now());
+            returning.ready(eventLoop.now());
         }
     }
 
@@ -538,13 +538,13 @@
         ending = true;
         leaving = succeeded;
         if (succeeded) {
-            choice.share(tick(), REST);
+            policy.share(tick(), REST);
             // They have somewhere to go; what they ask here from now on, if it is large, might not be finished.
             closeIdle(ClientConnection::served);
         }
         lastAnswer = last;
         // Danger: what was taken before and may still wait for its upstream then ends with this process.
-        calls.values().stream().filter(c -> !c.ended).forEach(c -> owner.at(last - limits.net(), () -> cutOff(c)));
+        calls.values().stream().filter(c -> !c.ended).forEach(c -> eventLoop.at(last - limits.net(), () -> cutOff(c)));
         LOG.log(System.Logger.Level.INFO, "ending; {0} calls held", byClient.size());
     }
 
@@ -565,7 +565,7 @@
 
     /** One task each, behind what has been read by then: a call that waits its turn is not closed on. */
     private void closeIdle(Predicate<ClientConnection> of) {
-        List.copyOf(clients).stream().filter(of).forEach(c -> owner.execute(c::closeIfIdle));
+        List.copyOf(clients).stream().filter(of).forEach(c -> eventLoop.execute(c::closeIfIdle));
     }
 
     // What operators say.
@@ -576,15 +576,15 @@
     }
 
     @Override
-    public void byHand(String upstream, long back) {
-        choice.byHand(tick(), upstream, back);
+    public void maintenance(String upstream, long back) {
+        policy.maintenance(tick(), upstream, back);
         pool.out(upstream, back == Handover.OUT);
     }
 
     @Override
     public void away(boolean isAway) {
         if (isAway && !away) {
-            owner.at(owner.now() + limits.awayIdle(), this::emptyWhileAway);
+            eventLoop.at(eventLoop.now() + limits.awayIdle(), this::emptyWhileAway);
         }
         away = isAway;
     }
@@ -593,7 +593,7 @@
     private void emptyWhileAway() {
         if (away) {
             closeIdle(c -> true);
-            owner.at(owner.now() + limits.sweep(), this::emptyWhileAway);
+            eventLoop.at(eventLoop.now() + limits.sweep(), this::emptyWhileAway);
         }
     }
 
@@ -603,7 +603,7 @@
      */
     public void beside(boolean another, boolean open) {
         if (!ending) {
-            choice.share(tick(), open ? 0.5 : 1);
+            policy.share(tick(), open ? 0.5 : 1);
         }
         pool.bound(limits.upstreamConnections() / (another ? 2 : 1));
         mostClients = limits.clientConnections() / (another ? 2 : 1);
@@ -626,13 +626,13 @@
         if (mail != null) {
             brake.returned(mail.returned());
         }
-        level = brake.level(owner.now());
-        choice.spread(level);
+        level = brake.level(eventLoop.now());
+        policy.spread(level);
         if (before == 0 && level > 0) {
             LOG.log(System.Logger.Level.INFO, "many have come back at once; who is turned away returns spread");
         }
-        if (owner.now() < until) {
-            owner.at(owner.now() + limits.sweep(), () -> ease(until));
+        if (eventLoop.now() < until) {
+            eventLoop.at(eventLoop.now() + limits.sweep(), () -> ease(until));
         } else {
             brake = null;
         }
@@ -646,8 +646,8 @@
 
     private void lookAgain() {
         if (returning.due() < Long.MAX_VALUE || returning.step() == Returning.Step.LISTED) {
-            owner.at(Math.min(returning.due(), owner.now() + limits.warmUp()), () -> {
-                returning.look(owner.now());
+            eventLoop.at(Math.min(returning.due(), eventLoop.now() + limits.warmUp()), () -> {
+                returning.look(eventLoop.now());
                 lookAgain();
             });
         }
@@ -661,7 +661,7 @@
     @Override
     public ObjectNode status() {
         ObjectNode status = new ObjectMapper().createObjectNode();
-        long time = owner.now();
+        long time = eventLoop.now();
         status.put("ready", ready()).put("callsHeld", byClient.size()).put("clientConnections", clients.size());
         if (returning != null) {
             status.put("step", step()).put("stepForMs", (time - returning.since()) / 1_000_000);
@@ -700,16 +700,16 @@
         news(Listing.catalog(listed));
         kept = learnt;
         asksAt = askAt;
-        owner.at(askAt, this::askForList);
+        eventLoop.at(askAt, this::askForList);
     }
 
     /** What the module has learnt, for a process that takes over, and its taking over. */
     public double[][] learnt() {
-        return choice.learnt();
+        return policy.learnt();
     }
 
     public void learnt(double[][] told) {
-        choice.learnt(tick(), told);
+        policy.learnt(tick(), told);
     }
 
     /** The end has come for all but large answers under way. */
@@ -726,14 +726,14 @@
             whenQuiet = null;
             quiet.run();
         } else if (clients.isEmpty()) {
-            owner.at(owner.now() + limits.settle(), this::quiet);
+            eventLoop.at(eventLoop.now() + limits.settle(), this::quiet);
         }
     }
 
     private void sweep() {
         pool.retire();
         // Behind what has been read by now.
-        owner.execute(() -> {
+        eventLoop.execute(() -> {
             List.copyOf(clients).forEach(ClientConnection::giveUpIfOverdue);
             close(2, Math.max(0, clients.size() - mostClients / 2));
             if (leaving) {
@@ -741,19 +741,19 @@
             }
         });
         if (notSent + turnedAway > 0) {
-            LOG.log(System.Logger.Level.WARNING, "out of connections: {0} shots not sent, {1} calls turned away",
+            LOG.log(System.Logger.Level.WARNING, "out of connections: {0} attempts not sent, {1} calls turned away",
                     notSent, turnedAway);
             notSent = 0;
             turnedAway = 0;
         }
-        long at = owner.now();
-        for (Shot s : out) {
+        long at = eventLoop.now();
+        for (Attempt s : out) {
             // Danger: a machine cut off leaves its idle connections open, and each would swallow a call. A
             // new one fails within the connect timeout, and proves that nothing ran.
             if (s.until < Long.MAX_VALUE && at - s.at > limits.silence() && !pool.heardSince(s.upstream, s.at)) {
                 pool.drop(s.upstream);
             }
         }
-        owner.at(at + limits.sweep(), this::sweep);
+        eventLoop.at(at + limits.sweep(), this::sweep);
     }
 }
--- a/balancer/src/main/java/gorsestack/memory/OwnerThread.java
+++ b/balancer/src/main/java/gorsestack/memory/EventLoopThread.java
@@ -1,20 +1,20 @@
 package gorsestack.memory;
 
-import gorsestack.wire.Owner;
+import gorsestack.wire.EventLoop;
 import java.util.concurrent.Future;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** The owner's thread, on the JDK's own scheduler. */
-public final class OwnerThread implements Owner {
-    private static final System.Logger LOG = System.getLogger("gorsestack.owner");
+/** The event loop's thread, on the JDK's own scheduler. */
+public final class EventLoopThread implements EventLoop {
+    private static final System.Logger LOG = System.getLogger("gorsestack.eventloop");
 
     private final ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1,
-            task -> new Thread(task, "owner"));
+            task -> new Thread(task, "event-loop"));
     // The wall clock is read once; the rest is counted, so that no change of it moves a deadline.
     private final long anchor = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
 
-    public OwnerThread() {
+    public EventLoopThread() {
         thread.setRemoveOnCancelPolicy(true);
     }
 
--- a/balancer/src/main/java/gorsestack/memory/Mail.java
+++ b/balancer/src/main/java/gorsestack/memory/Mail.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** What carries messages between balancers, on the owner's thread. */
+/** What carries messages between balancers, on the event loop's thread. */
 public interface Mail {
     /** To one peer, by its number; it may be lost. */
     void tell(int peer, byte[] message);
--- a/balancer/src/main/java/gorsestack/memory/Pool.java
+++ b/balancer/src/main/java/gorsestack/memory/Pool.java
@@ -5,7 +5,7 @@
 import gorsestack.wire.Catalog;
 import gorsestack.wire.Flow;
 import gorsestack.wire.Network;
-import gorsestack.wire.Owner;
+import gorsestack.wire.EventLoop;
 import gorsestack.wire.UpstreamConnection;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -36,16 +36,16 @@
     private final Set<String> out = new HashSet<>();
     private final Network network;
     private final Limits limits;
-    private final Owner owner;
+    private final EventLoop eventLoop;
     private final Flow flow;
     private long trustKeptAt;
     private long answeredTwiceAt = Long.MIN_VALUE / 2;
     private int most;
 
-    Pool(Network network, Limits limits, Owner owner, Flow flow) {
+    Pool(Network network, Limits limits, EventLoop eventLoop, Flow flow) {
         this.network = network;
         this.limits = limits;
-        this.owner = owner;
+        this.eventLoop = eventLoop;
         this.flow = flow;
         most = limits.upstreamConnections();
     }
@@ -127,10 +127,10 @@
         refused.add(upstream);
     }
 
-    /** A connection for one shot, the idle one used last or a new one; null if there can be none. */
+    /** A connection for one attempt, the idle one used last or a new one; null if there can be none. */
     UpstreamConnection take(String upstream, boolean mayRepeat) {
-        // Danger: a second copy right behind an answer would be taken for the next shot's; it gets time to come.
-        long now = owner.now();
+        // Danger: a second copy right behind an answer would be taken for the next attempt's; it gets time to come.
+        long now = eventLoop.now();
         long settled = now - (now - answeredTwiceAt < limits.mistrust() ? limits.settleLong() : limits.settle());
         ArrayDeque<UpstreamConnection> here = idle.getOrDefault(upstream, NONE);
         if (mayRepeat || now >= trustKeptAt) {
@@ -149,11 +149,11 @@
         if (address == null || all.size() >= most && !dropOldest()) {
             return null;
         }
-        UpstreamConnection opened = new UpstreamConnection(limits, owner, this, upstream, address);
+        UpstreamConnection opened = new UpstreamConnection(limits, eventLoop, this, upstream, address);
         opened.connect(network);
         all.add(opened);
-        // Danger: a machine that is gone answers no connect; the shot on it has to end, as one that never ran.
-        owner.at(now + limits.connectTimeout(), opened::tooSlow);
+        // Danger: a machine that is gone answers no connect; the attempt on it has to end, as one that never ran.
+        eventLoop.at(now + limits.connectTimeout(), opened::tooSlow);
         return opened;
     }
 
@@ -163,7 +163,7 @@
             connection.close();
             return;
         }
-        connection.idleSince = owner.now();
+        connection.idleSince = eventLoop.now();
         idle.computeIfAbsent(connection.upstream, u -> new ArrayDeque<>()).addLast(connection);
     }
 
@@ -179,7 +179,7 @@
     @Override
     public void heard(String upstream) {
         if (addresses.containsKey(upstream)) {
-            heardAt.put(upstream, owner.now());
+            heardAt.put(upstream, eventLoop.now());
         }
     }
 
@@ -191,7 +191,7 @@
     /** Danger: upstreams that end kept connections under a request; a call that may not be repeated is lost there. */
     @Override
     public void keptInVain() {
-        trustKeptAt = owner.now() + limits.mistrust();
+        trustKeptAt = eventLoop.now() + limits.mistrust();
     }
 
     /** Danger: a machine that is gone; one that comes up late is worth keeping, a dozen on the way there are not. */
@@ -202,7 +202,7 @@
 
     @Override
     public void answeredTwice() {
-        answeredTwiceAt = owner.now();
+        answeredTwiceAt = eventLoop.now();
     }
 
     @Override
@@ -239,7 +239,7 @@
 
     /** Retires what has been idle for long, before the upstream does. */
     void retire() {
-        long before = owner.now() - limits.upstreamIdle();
+        long before = eventLoop.now() - limits.upstreamIdle();
         for (ArrayDeque<UpstreamConnection> kept : idle.values()) {
             while (!kept.isEmpty() && kept.peekFirst().idleSince < before) {
                 kept.peekFirst().close();
--- a/balancer/src/main/java/gorsestack/operate/Handover.java
+++ b/balancer/src/main/java/gorsestack/operate/Handover.java
@@ -4,7 +4,7 @@
 import gorsestack.recovery.FolderDisk;
 import gorsestack.recovery.State;
 import gorsestack.recovery.Store;
-import gorsestack.wire.Owner;
+import gorsestack.wire.EventLoop;
 import java.io.IOException;
 import java.net.URLEncoder;
 import java.nio.channels.FileChannel;
@@ -24,13 +24,13 @@
 
 /**
  * What two processes of one balancer share during an upgrade: what operators said, in one small file, and who else is
- * there, as held locks, which go with their process. All of it on one thread of its own, never the owner's.
+ * there, as held locks, which go with their process. All of it on one thread of its own, never the event loop's.
  */
 public final class Handover {
-    /** Who is told, on the owner's thread. */
+    /** Who is told, on the event loop's thread. */
     public interface Listener {
         /** Said by hand, here or to the other process: when that upstream was called back, or OUT. */
-        void byHand(String upstream, long back);
+        void maintenance(String upstream, long back);
 
         /** Whether another process of this balancer runs, and whether that one takes in clients too. */
         void beside(boolean another, boolean open);
@@ -42,7 +42,7 @@
         void learnt(double[][] told);
 
         /** All that was said by hand, as it stands; after each change. */
-        default void saidByHand(Map<String, State.Ban> all) { }
+        default void saidMaintenance(Map<String, State.Ban> all) { }
 
         /** The list as held, for the next process; null where it is not kept, or none was confirmed. */
         default State.Listed listed() {
@@ -67,7 +67,7 @@
     /** What was learnt fades by a third in so long where upstreams are cold for 20 s; the same list is confirmed so often. */
     private static final long KEEP_ANYWAY = 2_000_000_000L;
 
-    private final Owner owner;
+    private final EventLoop eventLoop;
     private final Listener listener;
     private final String name;
     private final Store store;
@@ -104,8 +104,8 @@
     }
 
     /** In this folder, which both processes see; name tells this balancer from others there. */
-    public Handover(Path folder, String name, boolean lasting, Owner owner, Listener listener) {
-        this.owner = owner;
+    public Handover(Path folder, String name, boolean lasting, EventLoop eventLoop, Listener listener) {
+        this.eventLoop = eventLoop;
         this.listener = listener;
         this.name = name;
         String file = file(name);
@@ -132,10 +132,10 @@
         thread.execute(() -> incarnation = Math.max(incarnation, number));
         // Danger: a fleet that starts at once on one disk would write at once, each second.
         long first = KEEP_MS / 2 + (long) (KEEP_MS * new Chance(number ^ name.hashCode()).next());
-        thread.scheduleWithFixedDelay(() -> owner.execute(() -> {
+        thread.scheduleWithFixedDelay(() -> eventLoop.execute(() -> {
             State.Listed held = listener.listed();
             double[][] rows = listener.learnt();
-            long now = owner.now();
+            long now = eventLoop.now();
             thread.execute(() -> keep(held, rows, now));
         }), first, KEEP_MS, TimeUnit.MILLISECONDS);
     }
@@ -234,7 +234,7 @@
         boolean later = held(place + 2, END);
         boolean openBefore = otherOpen;
         if (later && !younger) {
-            owner.execute(() -> {
+            eventLoop.execute(() -> {
                 double[][] rows = listener.learnt();
                 thread.execute(() -> pass(rows));
             });
@@ -247,7 +247,7 @@
         if (another != before || otherOpen != openBefore) {
             boolean there = another;
             boolean open = otherOpen;
-            owner.execute(() -> listener.beside(there, open));
+            eventLoop.execute(() -> listener.beside(there, open));
         }
         if (another != before) {
             LOG.log(System.Logger.Level.INFO, another ? "another process of this balancer runs"
@@ -297,11 +297,11 @@
 
     /** Danger: the yes to an operator must hold over a kill of this process; it is said once the file is there. */
     public void said(String upstream, long back, Runnable then) {
-        long now = owner.now();
+        long now = eventLoop.now();
         thread.execute(() -> {
             known.put(upstream, new State.Ban(back, now));
             write(() -> { });
-            owner.execute(then);
+            eventLoop.execute(then);
             tellAll();
         });
     }
@@ -310,7 +310,7 @@
     private void pass(double[][] rows) {
         write(() -> {
             learnt = List.of(rows);
-            learntAt = owner.now();
+            learntAt = eventLoop.now();
         });
     }
 
@@ -322,8 +322,8 @@
         try (FileLock writing = locks.lock(WRITING, 1, false)) {
             load();
             own.run();
-            known.values().removeIf(ban -> ban.back() != OUT && ban.back() < owner.now() - FORGET);
-            store.save(new State(name, incarnation, owner.now(), known, learnt, learntAt, listed));
+            known.values().removeIf(ban -> ban.back() != OUT && ban.back() < eventLoop.now() - FORGET);
+            store.save(new State(name, incarnation, eventLoop.now(), known, learnt, learntAt, listed));
         } catch (IOException e) {
             LOG.log(System.Logger.Level.DEBUG, "not kept: {0}", e.toString()); // the store has said so once
         }
@@ -337,7 +337,7 @@
 
     private void tellAll() {
         Map<String, State.Ban> all = Map.copyOf(known);
-        owner.execute(() -> listener.saidByHand(all));
+        eventLoop.execute(() -> listener.saidMaintenance(all));
     }
 
     /** Takes what is not known. */
@@ -349,7 +349,7 @@
         }
         known.forEach((upstream, ban) -> {
             if (!before.containsKey(upstream) || before.get(upstream).back() != ban.back()) {
-                owner.execute(() -> listener.byHand(upstream, ban.back()));
+                eventLoop.execute(() -> listener.maintenance(upstream, ban.back()));
             }
         });
         if (found.learntAt() > learntAt) {
@@ -364,7 +364,7 @@
         if (beginning && another && !younger && !learnt.isEmpty()) {
             beginning = false;
             double[][] told = learnt.toArray(double[][]::new);
-            owner.execute(() -> listener.learnt(told));
+            eventLoop.execute(() -> listener.learnt(told));
         }
     }
 }
--- a/balancer/src/main/java/gorsestack/operate/Management.java
+++ b/balancer/src/main/java/gorsestack/operate/Management.java
@@ -7,8 +7,8 @@
 import gorsestack.wire.BadMessage;
 import gorsestack.wire.Channel;
 import gorsestack.wire.HttpParser;
-import gorsestack.wire.Link;
-import gorsestack.wire.Owner;
+import gorsestack.wire.ConnectionHandler;
+import gorsestack.wire.EventLoop;
 import java.net.URLDecoder;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -27,7 +27,7 @@
         boolean knows(String upstream);
 
         /** Out while back is OUT, else back since then. */
-        void byHand(String upstream, long back);
+        void maintenance(String upstream, long back);
 
         /** What there is to be seen of it. */
         default ObjectNode status() {
@@ -41,17 +41,17 @@
     private static final System.Logger LOG = System.getLogger("gorsestack.operate");
 
     private final Limits limits;
-    private final Owner owner;
+    private final EventLoop eventLoop;
     private final Balancer balancer;
     private Handover handover;
     private long incarnation;
     /** What was said by hand, to this process or to the other. */
-    private final Map<String, Long> byHand = new HashMap<>();
+    private final Map<String, Long> maintenance = new HashMap<>();
     private final Set<Caller> callers = new LinkedHashSet<>();
 
-    public Management(Limits limits, Owner owner, Balancer balancer) {
+    public Management(Limits limits, EventLoop eventLoop, Balancer balancer) {
         this.limits = limits;
-        this.owner = owner;
+        this.eventLoop = eventLoop;
         this.balancer = balancer;
     }
 
@@ -60,15 +60,15 @@
         handover = in;
     }
 
-    public Link caller() {
+    public ConnectionHandler caller() {
         return new Caller();
     }
 
     /** Said here, or to another process of this balancer. */
     public void told(String upstream, long back) {
-        if (!Long.valueOf(back).equals(byHand.put(upstream, back))) {
+        if (!Long.valueOf(back).equals(maintenance.put(upstream, back))) {
             LOG.log(System.Logger.Level.INFO, back == Handover.OUT ? "{0} is out" : "{0} is called back", upstream);
-            balancer.byHand(upstream, back);
+            balancer.maintenance(upstream, back);
         }
     }
 
@@ -114,7 +114,7 @@
         }
         status.put("incarnation", incarnation);
         ArrayNode out = status.putArray("outByHand");
-        byHand.entrySet().stream().filter(e -> e.getValue() == Handover.OUT).map(Map.Entry::getKey).sorted().forEach(out::add);
+        maintenance.entrySet().stream().filter(e -> e.getValue() == Handover.OUT).map(Map.Entry::getKey).sorted().forEach(out::add);
         return status;
     }
 
@@ -132,20 +132,20 @@
             answer.accept(Answer.own(400, "", "an id that cannot be read"));
             return;
         }
-        boolean isOut = byHand.getOrDefault(id, 0L) == Handover.OUT;
+        boolean isOut = maintenance.getOrDefault(id, 0L) == Handover.OUT;
         if (!isOut && !balancer.knows(id)) {
             answer.accept(Answer.own(404, "", "no such upstream"));
         } else if (out == isOut) {
             answer.accept(say(true, out ? "out already" : "was not out"));
         } else {
-            long back = out ? Handover.OUT : owner.now();
+            long back = out ? Handover.OUT : eventLoop.now();
             told(id, back);
             handover.said(id, back, () -> answer.accept(say(true, out ? "out" : "back")));
         }
     }
 
     /** One connection of an operator's. Danger: callers that say nothing, or half a call, and stay. */
-    private final class Caller implements Link {
+    private final class Caller implements ConnectionHandler {
         private final HttpParser parser = HttpParser.request(limits);
         private Channel channel;
         private boolean heard;
@@ -159,7 +159,7 @@
                 callers.remove(oldest);
                 oldest.channel.close();
             }
-            owner.at(owner.now() + limits.operatorSilence(), () -> {
+            eventLoop.at(eventLoop.now() + limits.operatorSilence(), () -> {
                 if (!heard) {
                     answer(Answer.own(408, "", "the call did not come to its end"));
                 }
@@ -189,7 +189,7 @@
             heard = true;
             channel.write(answer.bytes(true));
             // Danger: closing at once on what a caller still sends resets the connection under its answer.
-            owner.at(owner.now() + limits.linger(), channel::close);
+            eventLoop.at(eventLoop.now() + limits.linger(), channel::close);
         }
 
         @Override
--- a/balancer/src/main/java/gorsestack/recovery/Neighbours.java
+++ b/balancer/src/main/java/gorsestack/recovery/Neighbours.java
@@ -1,7 +1,7 @@
 package gorsestack.recovery;
 
 import gorsestack.decision.Chance;
-import gorsestack.recovery.Letter.Kind;
+import gorsestack.recovery.PeerMessage.Kind;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -84,7 +84,7 @@
     private final long[] helloAt;
     private final TreeSet<Integer> asked = new TreeSet<>();
     private final TreeSet<Integer> answered = new TreeSet<>();
-    private final List<List<Letter.Row>> rows = new ArrayList<>();
+    private final List<List<PeerMessage.Row>> rows = new ArrayList<>();
     private int rounds;
     private long roundAt;
     private long toldIndex;
@@ -151,8 +151,8 @@
 
     /** A message as it goes to a peer: with this process's number, where the peer is known to read that. */
     public byte[] outgoing(long now, int peer, byte[] news) {
-        byte[] letter = speaks(now, peer) ? Letter.news(incarnation, now - startedAt, news) : null;
-        return letter != null ? letter : news;
+        byte[] peerMessage = speaks(now, peer) ? PeerMessage.news(incarnation, now - startedAt, news) : null;
+        return peerMessage != null ? peerMessage : news;
     }
 
     private boolean speaks(long now, int peer) {
@@ -161,35 +161,35 @@
 
     /** From a peer; what it has to tell of upstreams' load, or null where that is nothing, or nothing that counts. */
     public byte[] heard(long now, int from, byte[] message) {
-        if (message.length > 0 && message[0] != Letter.VERSION) {
+        if (message.length > 0 && message[0] != PeerMessage.VERSION) {
             return plain(now, from, message);
         }
-        Letter letter = Letter.read(message);
-        if (letter == null) {
+        PeerMessage peerMessage = PeerMessage.read(message);
+        if (peerMessage == null) {
             bad++;
             return null;
         }
         // An earlier process asks as well as a later one; it has to be told what is remembered of it.
-        if (letter.incarnation < highest[from]) {
+        if (peerMessage.incarnation < highest[from]) {
             stale++;
-            if (letter.kind == Kind.ASK || now - helloAt[from] > SECOND) {
+            if (peerMessage.kind == Kind.ASK || now - helloAt[from] > SECOND) {
                 helloAt[from] = now;
                 answer(now, from);
             }
             return null;
         }
-        highest[from] = letter.incarnation;
+        highest[from] = peerMessage.incarnation;
         heardAt[from] = now;
-        beganAt[from] = Math.max(beganAt[from], now - letter.ran);
-        switch (letter.kind) {
+        beganAt[from] = Math.max(beganAt[from], now - peerMessage.ran);
+        switch (peerMessage.kind) {
             case NEWS -> {
-                return letter.news();
+                return peerMessage.news();
             }
             case ASK -> answer(now, from);
-            case TELL -> told(now, from, letter.tell());
-            case KEEP -> keep(from, letter.bans(now));
+            case TELL -> told(now, from, peerMessage.tell());
+            case KEEP -> keep(from, peerMessage.bans(now));
             case KEPT -> {
-                Map<String, State.Ban> bans = asked.contains(from) ? letter.bans(now) : null;
+                Map<String, State.Ban> bans = asked.contains(from) ? peerMessage.bans(now) : null;
                 if (bans == null) {
                     bad++;
                 } else {
@@ -212,7 +212,7 @@
         }
         if (helloAt[from] == 0 || now - helloAt[from] > HELLO) {
             helloAt[from] = now;
-            act.send(from, Letter.hello(incarnation, now - startedAt));
+            act.send(from, PeerMessage.hello(incarnation, now - startedAt));
         }
         return message;
     }
@@ -228,15 +228,15 @@
         }
         long ran = now - startedAt;
         double[][] learnt = ran < young ? new double[0][] : known.learnt();
-        List<Letter.Row> all = new ArrayList<>();
+        List<PeerMessage.Row> all = new ArrayList<>();
         for (int i = 0; i < Math.min(learnt.length, zones.length); i++) {
-            all.add(new Letter.Row(zones[i], Arrays.copyOf(learnt[i], 4)));
+            all.add(new PeerMessage.Row(zones[i], Arrays.copyOf(learnt[i], 4)));
         }
-        act.send(to, Letter.tell(incarnation, ran, new Letter.Tell(highest[to], known.index(), all)));
-        Letter.bans(Kind.KEPT, incarnation, ran, wards.getOrDefault(to, Map.of()), now).forEach(letter -> act.send(to, letter));
+        act.send(to, PeerMessage.tell(incarnation, ran, new PeerMessage.Tell(highest[to], known.index(), all)));
+        PeerMessage.bans(Kind.KEPT, incarnation, ran, wards.getOrDefault(to, Map.of()), now).forEach(peerMessage -> act.send(to, peerMessage));
     }
 
-    private void told(long now, int from, Letter.Tell tell) {
+    private void told(long now, int from, PeerMessage.Tell tell) {
         if (tell == null) {
             bad++;
             return;
@@ -264,8 +264,8 @@
         for (int zone : zones) {
             double[] row = new double[4];
             int n = 0;
-            for (List<Letter.Row> some : rows) {
-                for (Letter.Row one : some) {
+            for (List<PeerMessage.Row> some : rows) {
+                for (PeerMessage.Row one : some) {
                     if (one.zone() == zone) {
                         row[0] = n == 0 ? one.figures()[0] : Math.min(row[0], one.figures()[0]);
                         row[1] += one.figures()[1];
@@ -310,8 +310,8 @@
     }
 
     private void tellGuardians(long now) {
-        for (byte[] letter : Letter.bans(Kind.KEEP, incarnation, now - startedAt, mine, now)) {
-            guardians(me, count).forEach(peer -> act.send(peer, letter));
+        for (byte[] peerMessage : PeerMessage.bans(Kind.KEEP, incarnation, now - startedAt, mine, now)) {
+            guardians(me, count).forEach(peer -> act.send(peer, peerMessage));
         }
     }
 
@@ -356,7 +356,7 @@
         rounds++;
         for (int peer : asked) {
             if (!answered.contains(peer)) {
-                act.send(peer, Letter.ask(incarnation, now - startedAt));
+                act.send(peer, PeerMessage.ask(incarnation, now - startedAt));
             }
         }
         // The second wait is twice the first, and so on, each drawn by up to half more.
--- a/balancer/src/main/java/gorsestack/recovery/Letter.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerMessage.java
@@ -14,8 +14,8 @@
  * What balancers send one another, each a datagram of at most 256 bytes: a version, a kind, the number of the process that sends it and how long
  * it has run, then what the kind says. Numbers are big-endian. Ages, never times: nobody's clock is trusted. Any bytes may come in.
  */
-final class Letter {
-    /** The first byte. What is passed on of upstreams' load begins with 1, by itself or within a letter. */
+final class PeerMessage {
+    /** The first byte. What is passed on of upstreams' load begins with 1, by itself or within a peerMessage. */
     static final byte VERSION = 2;
     static final int LONGEST = 256;
     private static final int HEAD = 14;
@@ -39,7 +39,7 @@
     final long ran;
     private final ByteBuffer rest;
 
-    private Letter(Kind kind, long incarnation, long ran, ByteBuffer rest) {
+    private PeerMessage(Kind kind, long incarnation, long ran, ByteBuffer rest) {
         this.kind = kind;
         this.incarnation = incarnation;
         this.ran = ran;
@@ -53,7 +53,7 @@
     record Tell(long remembered, long index, List<Row> learnt) { }
 
     /** Null where it makes no sense. */
-    static Letter read(byte[] bytes) {
+    static PeerMessage read(byte[] bytes) {
         if (bytes.length < HEAD || bytes.length > LONGEST || bytes[0] != VERSION || bytes[1] < 0 || bytes[1] >= Kind.values().length) {
             return null;
         }
@@ -61,7 +61,7 @@
         long incarnation = in.getLong();
         long ran = in.getInt();
         return incarnation <= 0 || incarnation > MOST_INCARNATION || ran < 0 ? null
-                : new Letter(Kind.values()[bytes[1]], incarnation, ran * MS, in.slice());
+                : new PeerMessage(Kind.values()[bytes[1]], incarnation, ran * MS, in.slice());
     }
 
     private static ByteBuffer begin(Kind kind, long incarnation, long ran) {
@@ -130,7 +130,7 @@
 
     /** As many as need be; each stands by itself. */
     static List<byte[]> bans(Kind kind, long incarnation, long ran, Map<String, State.Ban> bans, long now) {
-        List<byte[]> letters = new ArrayList<>();
+        List<byte[]> peerMessages = new ArrayList<>();
         ByteBuffer out = null;
         for (Map.Entry<String, State.Ban> ban : bans.entrySet()) {
             byte[] name = ban.getKey().getBytes(StandardCharsets.UTF_8);
@@ -138,7 +138,7 @@
                 continue;
             }
             if (out != null && out.remaining() < name.length + 17) {
-                letters.add(end(out));
+                peerMessages.add(end(out));
                 out = null;
             }
             out = out != null ? out : begin(kind, incarnation, ran);
@@ -146,9 +146,9 @@
                     .putLong(ban.getValue().back() == State.OUT ? -1 : Math.max(0, now - ban.getValue().back()));
         }
         if (out != null) {
-            letters.add(end(out));
+            peerMessages.add(end(out));
         }
-        return letters;
+        return peerMessages;
     }
 
     /** Null where it makes no sense. */
--- a/balancer/src/main/java/gorsestack/recovery/Store.java
+++ b/balancer/src/main/java/gorsestack/recovery/Store.java
@@ -10,7 +10,7 @@
 
 /**
  * Keeps a balancer's state on a disk: a fresh copy is written whole beside the one that holds, then takes its place, and the one before
- * stays as an older copy. Whatever step a crash falls on, a whole copy is found. On a thread of its own, never the owner's.
+ * stays as an older copy. Whatever step a crash falls on, a whole copy is found. On a thread of its own, never the event loop's.
  */
 public final class Store {
     /** What is larger is no state of ours; 2,000 upstreams take half a megabyte. */
--- a/balancer/src/main/java/gorsestack/serve/Neighbourhood.java
+++ b/balancer/src/main/java/gorsestack/serve/Neighbourhood.java
@@ -8,7 +8,7 @@
 import gorsestack.recovery.Neighbours;
 import gorsestack.recovery.State;
 import gorsestack.settings.Limits;
-import gorsestack.wire.Owner;
+import gorsestack.wire.EventLoop;
 import gorsestack.wire.Peers;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -21,7 +21,7 @@
 final class Neighbourhood implements Mail, Neighbours.Act, AutoCloseable {
     private static final System.Logger LOG = System.getLogger("gorsestack.neighbours");
 
-    private final Owner owner;
+    private final EventLoop eventLoop;
     private final Calls calls;
     private final Limits limits;
     private final Handover handover;
@@ -35,18 +35,18 @@
      * @param bansMayBeLost whether some of that may be missing here
      * @param number told of another number of this process
      */
-    Neighbourhood(List<InetSocketAddress> addresses, Owner owner, Calls calls, Limits limits, Handover handover, boolean bansMayBeLost,
+    Neighbourhood(List<InetSocketAddress> addresses, EventLoop eventLoop, Calls calls, Limits limits, Handover handover, boolean bansMayBeLost,
             LongConsumer number, Settings settings) throws IOException {
-        this.owner = owner;
+        this.eventLoop = eventLoop;
         this.calls = calls;
         this.limits = limits;
         this.handover = handover;
         this.bansMayBeLost = bansMayBeLost;
         this.number = number;
-        peers = new Peers(addresses, settings.me(), owner, calls::heard);
+        peers = new Peers(addresses, settings.me(), eventLoop, calls::heard);
     }
 
-    /** On the owner's thread, before anything is heard. */
+    /** On the event loop's thread, before anything is heard. */
     void begin(Settings settings, long incarnation, boolean nothingLearnt, long seed) {
         // In the order of the module's groups.
         List<String> zones = new ArrayList<>();
@@ -54,7 +54,7 @@
         for (int i = 0; i < settings.zones().size(); i++) {
             zones.add(settings.zones().get((own + i) % settings.zones().size()));
         }
-        neighbours = new Neighbours(settings.me(), settings.instances(), incarnation, owner.now(), settings.rules().askWithin(),
+        neighbours = new Neighbours(settings.me(), settings.instances(), incarnation, eventLoop.now(), settings.rules().askWithin(),
                 zones, nothingLearnt, seed, new Neighbours.Known() {
                     @Override
                     public long index() {
@@ -70,12 +70,12 @@
 
     @Override
     public void tell(int peer, byte[] message) {
-        peers.tell(peer, neighbours.outgoing(owner.now(), peer, message));
+        peers.tell(peer, neighbours.outgoing(eventLoop.now(), peer, message));
     }
 
     @Override
     public byte[] heard(int peer, byte[] message) {
-        return neighbours == null ? null : neighbours.heard(owner.now(), peer, message);
+        return neighbours == null ? null : neighbours.heard(eventLoop.now(), peer, message);
     }
 
     @Override
@@ -85,12 +85,12 @@
 
     @Override
     public void wake(long at) {
-        owner.at(at, () -> neighbours.look(owner.now()));
+        eventLoop.at(at, () -> neighbours.look(eventLoop.now()));
     }
 
     /** What was said by hand, all of it. */
     void keep(Map<String, State.Ban> bans) {
-        neighbours.keep(owner.now(), bans);
+        neighbours.keep(eventLoop.now(), bans);
     }
 
     @Override
@@ -111,7 +111,7 @@
     public void listIsOld(long index) {
         LOG.log(System.Logger.Level.INFO, "a peer has list {0}, later than the {1} held here", Long.toString(index),
                 Long.toString(calls.listIndex()));
-        owner.at(owner.now() + (long) (calls.jitter() * limits.watchSpread()), calls::askForList);
+        eventLoop.at(eventLoop.now() + (long) (calls.jitter() * limits.watchSpread()), calls::askForList);
     }
 
     @Override
@@ -132,12 +132,12 @@
 
     @Override
     public double returned() {
-        return neighbours.returned(owner.now());
+        return neighbours.returned(eventLoop.now());
     }
 
     @Override
     public void status(ObjectNode status) {
-        long now = owner.now();
+        long now = eventLoop.now();
         ObjectNode node = status.putObject("neighbours");
         put(node, "returned", neighbours.returned(now));
         put(node, "silent", neighbours.silent(now));
--- a/balancer/src/main/java/gorsestack/serve/Service.java
+++ b/balancer/src/main/java/gorsestack/serve/Service.java
@@ -1,7 +1,7 @@
 package gorsestack.serve;
 
 import gorsestack.memory.Calls;
-import gorsestack.memory.OwnerThread;
+import gorsestack.memory.EventLoopThread;
 import gorsestack.operate.Handover;
 import gorsestack.operate.Management;
 import gorsestack.recovery.Brake;
@@ -13,7 +13,7 @@
 import gorsestack.wire.ClientConnection;
 import gorsestack.wire.MinaNetwork;
 import gorsestack.wire.Network;
-import gorsestack.wire.Owner;
+import gorsestack.wire.EventLoop;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -30,7 +30,7 @@
 
     private final Path file;
     private final Configuration configuration;
-    private final Owner owner = new OwnerThread();
+    private final EventLoop eventLoop = new EventLoopThread();
     private final CountDownLatch ended = new CountDownLatch(1);
     /** Counted down when signals can be acted on. */
     private final CountDownLatch startedTo = new CountDownLatch(1);
@@ -39,15 +39,15 @@
     private Calls calls;
     private Handover handover;
     private boolean besideAnother;
-    /** What was said by hand, all of it, and who else keeps it; on the owner's thread. */
-    private Map<String, State.Ban> saidByHand = Map.of();
+    /** What was said by hand, all of it, and who else keeps it; on the event loop's thread. */
+    private Map<String, State.Ban> saidMaintenance = Map.of();
     private Neighbourhood neighbourhood;
 
     private Service(Path file) throws IOException {
         this.file = file;
         handleSignals();
         configuration = Configuration.read(file, System.getenv());
-        network = new MinaNetwork(configuration.limits(), owner, configuration.mgmt() != null);
+        network = new MinaNetwork(configuration.limits(), eventLoop, configuration.mgmt() != null);
     }
 
     /** Starts a balancer; it runs on when this returns. */
@@ -88,43 +88,43 @@
         Limits limits = configuration.limits();
         Restore.Restored restored = configuration.state() == null ? null : restored();
         boolean listKept = restored != null && restored.listed() != null;
-        calls = new Calls(owner, limits, configuration.settings(), configuration.seed(), network,
+        calls = new Calls(eventLoop, limits, configuration.settings(), configuration.seed(), network,
                 configuration.discovery(), listKept ? restored.listed().index() : configuration.known().index());
         if (restored != null) {
             calls.keepList();
-            long now = owner.now();
+            long now = eventLoop.now();
             long askWithin = configuration.settings().rules().askWithin();
-            owner.execute(() -> calls.returns(new Returning(now, askWithin, configuration.settings().rules().cold(),
-                    (step, why) -> LOG.log(System.Logger.Level.INFO, "{0} after {1} ms: {2}", step, (owner.now() - now) / 1_000_000, why))));
+            eventLoop.execute(() -> calls.returns(new Returning(now, askWithin, configuration.settings().rules().cold(),
+                    (step, why) -> LOG.log(System.Logger.Level.INFO, "{0} after {1} ms: {2}", step, (eventLoop.now() - now) / 1_000_000, why))));
         }
         Brake brake = restored == null && configuration.peers().isEmpty() ? null
-                : new Brake(owner.now(), configuration.settings().rules().askWithin());
+                : new Brake(eventLoop.now(), configuration.settings().rules().askWithin());
         if (brake != null) {
-            long until = owner.now() + configuration.settings().rules().askWithin();
-            owner.execute(() -> calls.brake(brake, until));
+            long until = eventLoop.now() + configuration.settings().rules().askWithin();
+            eventLoop.execute(() -> calls.brake(brake, until));
         }
         if (listKept) {
             // Rule 3: what discovery had to tell meanwhile counts as told from then, not from this start.
             long askWithin = configuration.settings().rules().askWithin();
             long askBy = restored.listed().confirmed() + askWithin - limits.watchSpread();
-            owner.execute(() -> calls.restored(restored.listed(), Restore.askAt(owner.now(), askBy, askWithin,
+            eventLoop.execute(() -> calls.restored(restored.listed(), Restore.askAt(eventLoop.now(), askBy, askWithin,
                     configuration.settings().instances(), calls.jitter()), restored.learnt()));
         } else {
-            owner.execute(() -> calls.news(configuration.known()));
+            eventLoop.execute(() -> calls.news(configuration.known()));
         }
-        Management management = configuration.mgmt() == null && restored == null ? null : new Management(limits, owner, calls);
+        Management management = configuration.mgmt() == null && restored == null ? null : new Management(limits, eventLoop, calls);
         if (management != null) {
             Path temporary = Path.of(System.getenv().getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir")));
-            handover = new Handover(restored == null ? temporary : configuration.state(), name(), restored != null, owner,
+            handover = new Handover(restored == null ? temporary : configuration.state(), name(), restored != null, eventLoop,
                     new Handover.Listener() {
                         @Override
-                        public void byHand(String upstream, long back) {
+                        public void maintenance(String upstream, long back) {
                             management.told(upstream, back);
                         }
 
                         @Override
-                        public void saidByHand(Map<String, State.Ban> all) {
-                            saidByHand = all;
+                        public void saidMaintenance(Map<String, State.Ban> all) {
+                            saidMaintenance = all;
                             if (neighbourhood != null) {
                                 neighbourhood.keep(all);
                             }
@@ -152,10 +152,10 @@
                     });
             besideAnother = handover.predecessor();
             if (besideAnother) {
-                owner.execute(() -> share(true, true));
+                eventLoop.execute(() -> share(true, true));
             }
             if (restored != null && !besideAnother && !restored.learnt().isEmpty()) {
-                owner.execute(() -> calls.learnt(restored.learnt().toArray(double[][]::new)));
+                eventLoop.execute(() -> calls.learnt(restored.learnt().toArray(double[][]::new)));
             }
             management.keep(handover);
             if (configuration.mgmt() != null) {
@@ -168,38 +168,38 @@
             }
         }
         if (!configuration.peers().isEmpty()) {
-            long number = restored != null ? restored.incarnation() : Math.max(owner.now() / 1_000_000, 1);
-            Neighbourhood all = new Neighbourhood(configuration.peers(), owner, calls, limits, handover,
+            long number = restored != null ? restored.incarnation() : Math.max(eventLoop.now() / 1_000_000, 1);
+            Neighbourhood all = new Neighbourhood(configuration.peers(), eventLoop, calls, limits, handover,
                     restored == null || restored.lost(), to -> {
                         if (management != null) {
                             handover.number(to);
                             management.incarnation(to);
                         }
                     }, configuration.settings());
-            owner.execute(() -> {
+            eventLoop.execute(() -> {
                 all.begin(configuration.settings(), number, !besideAnother && (restored == null || restored.learnt().isEmpty()),
                         configuration.seed());
                 calls.mail(all);
                 neighbourhood = all;
-                if (!saidByHand.isEmpty()) {
-                    all.keep(saidByHand);
+                if (!saidMaintenance.isEmpty()) {
+                    all.keep(saidMaintenance);
                 }
             });
         }
         startedTo.countDown();
         // Danger: beside another process the system deals clients out to both as soon as this one listens, cold as it is.
         if (!besideAnother) {
-            network.listen(configuration.listen(), () -> new ClientConnection(limits, owner, calls));
+            network.listen(configuration.listen(), () -> new ClientConnection(limits, eventLoop, calls));
         }
         WarmUp.calls(limits, configuration.settings(), limits.warmUp());
-        WarmUp.sockets(network, owner, besideAnother ? configuration.mgmt() : configuration.listen(), limits.warmUp());
+        WarmUp.sockets(network, eventLoop, besideAnother ? configuration.mgmt() : configuration.listen(), limits.warmUp());
         if (besideAnother) {
-            network.listen(configuration.listen(), () -> new ClientConnection(limits, owner, calls));
+            network.listen(configuration.listen(), () -> new ClientConnection(limits, eventLoop, calls));
         }
         if (handover != null) {
             handover.open();
         }
-        owner.execute(calls::open);
+        eventLoop.execute(calls::open);
         LOG.log(System.Logger.Level.INFO, "{0} is ready on {1}", configuration.name(), configuration.listen());
     }
 
@@ -214,12 +214,12 @@
         } catch (IOException e) {
             LOG.log(System.Logger.Level.WARNING, "no state is kept: {0}", e.toString());
         }
-        Restore.Restored found = Restore.of(Handover.store(configuration.state(), name(), true).load(), name(), owner.now(),
+        Restore.Restored found = Restore.of(Handover.store(configuration.state(), name(), true).load(), name(), eventLoop.now(),
                 Catalog.text(configuration.discovery()), configuration.known().index(), configuration.settings().rules().cold());
         found.said().forEach(said -> LOG.log(System.Logger.Level.WARNING, "{0}", said));
         LOG.log(System.Logger.Level.INFO, "incarnation {0}; kept were {1}, {2} bans, {3} groups'' figures", Long.toString(found.incarnation()),
                 found.listed() == null ? "no list" : "a list of " + found.listed().members().size() + " upstreams, confirmed "
-                        + (owner.now() - found.listed().confirmed()) / 1_000_000 + " ms ago", found.bans().size(), found.learnt().size());
+                        + (eventLoop.now() - found.listed().confirmed()) / 1_000_000 + " ms ago", found.bans().size(), found.learnt().size());
         return found;
     }
 
@@ -233,7 +233,7 @@
     private synchronized void reload() {
         try {
             Configuration fresh = Configuration.reread(file, System.getenv());
-            owner.execute(() -> calls.moveTo(fresh.discovery()));
+            eventLoop.execute(() -> calls.moveTo(fresh.discovery()));
             LOG.log(System.Logger.Level.INFO, "configuration read again; discovery is {0}{1}", fresh.discovery(),
                     configuration.sameButDiscovery(fresh) ? "" : "; the other changes take effect at the next start");
         } catch (IOException e) {
@@ -248,21 +248,21 @@
      */
     private void end() {
         Limits limits = configuration.limits();
-        long told = owner.now();
+        long told = eventLoop.now();
         // A successor takes all that comes from now on; without one, the front goes on sending for a while.
         boolean succeeded = handover != null && handover.successor();
         if (succeeded) {
             handover.close();
         }
-        owner.execute(() -> calls.end(told + limits.endAfterTerm() - limits.wayOut(), succeeded));
-        owner.at(told + (succeeded ? 0 : limits.acceptAfterTerm()), network::stopAccepting);
+        eventLoop.execute(() -> calls.end(told + limits.endAfterTerm() - limits.wayOut(), succeeded));
+        eventLoop.at(told + (succeeded ? 0 : limits.acceptAfterTerm()), network::stopAccepting);
         // Behind what was taken in last: those that the listener took out of its backlog as it closed count by then.
-        owner.at(told + limits.acceptAfterTerm(), () -> calls.whenQuiet(ended::countDown));
-        owner.at(told + (succeeded ? limits.acceptAfterTerm() : limits.serveAfterTerm()), calls::leave);
+        eventLoop.at(told + limits.acceptAfterTerm(), () -> calls.whenQuiet(ended::countDown));
+        eventLoop.at(told + (succeeded ? limits.acceptAfterTerm() : limits.serveAfterTerm()), calls::leave);
         try {
             if (!ended.await(limits.endAfterTerm(), TimeUnit.NANOSECONDS)) {
                 // Danger: a large answer cut off that its upstream still gives. Whoever cannot wait sends SIGKILL.
-                owner.execute(calls::leaveButAnswers);
+                eventLoop.execute(calls::leaveButAnswers);
                 ended.await(limits.answersAfterTerm(), TimeUnit.NANOSECONDS);
             }
         } catch (InterruptedException e) {
--- a/balancer/src/main/java/gorsestack/serve/WarmUp.java
+++ b/balancer/src/main/java/gorsestack/serve/WarmUp.java
@@ -7,9 +7,9 @@
 import gorsestack.wire.Catalog;
 import gorsestack.wire.Channel;
 import gorsestack.wire.ClientConnection;
-import gorsestack.wire.Link;
+import gorsestack.wire.ConnectionHandler;
 import gorsestack.wire.Network;
-import gorsestack.wire.Owner;
+import gorsestack.wire.EventLoop;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -66,9 +66,9 @@
     }
 
     /** Health checks over real sockets, to this balancer's own address. */
-    static void sockets(Network network, Owner owner, InetSocketAddress self, long nanos) {
+    static void sockets(Network network, EventLoop eventLoop, InetSocketAddress self, long nanos) {
         CountDownLatch left = new CountDownLatch(CONNECTIONS);
-        owner.execute(() -> new Check(network, self, left, CONNECTIONS).start());
+        eventLoop.execute(() -> new Check(network, self, left, CONNECTIONS).start());
         try {
             left.await(nanos, TimeUnit.NANOSECONDS);
         } catch (InterruptedException e) {
@@ -77,7 +77,7 @@
     }
 
     /** One connection after the other, some checks on each. */
-    private static final class Check implements Link {
+    private static final class Check implements ConnectionHandler {
         private final Network network;
         private final InetSocketAddress self;
         private final CountDownLatch left;
@@ -128,25 +128,25 @@
     }
 
     /** A network and a thread that are neither: what is handed over is done in turn, timers never. */
-    private static final class Loop implements Owner, Network {
+    private static final class Loop implements EventLoop, Network {
         private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
         private int answers;
 
         final class Pipe implements Channel {
-            private final Link link;
+            private final ConnectionHandler handler;
             private final boolean upstream;
             private boolean closed;
 
-            Pipe(Link link, boolean upstream) {
-                this.link = link;
+            Pipe(ConnectionHandler handler, boolean upstream) {
+                this.handler = handler;
                 this.upstream = upstream;
             }
 
             @Override
             public void write(byte[] bytes) {
-                execute(link::sent);
+                execute(handler::sent);
                 if (upstream && ++answers % 20 != 0) {
-                    execute(() -> link.received(OK, now()));
+                    execute(() -> handler.received(OK, now()));
                 } else if (upstream) {
                     close();
                 }
@@ -161,7 +161,7 @@
             public void close() {
                 if (!closed) {
                     closed = true;
-                    execute(link::closed);
+                    execute(handler::closed);
                 }
             }
 
@@ -214,10 +214,10 @@
         }
 
         @Override
-        public void listen(InetSocketAddress address, Supplier<Link> links) { }
+        public void listen(InetSocketAddress address, Supplier<ConnectionHandler> handlers) { }
 
         @Override
-        public void listenApart(InetSocketAddress address, int most, Supplier<Link> links) { }
+        public void listenApart(InetSocketAddress address, int most, Supplier<ConnectionHandler> handlers) { }
 
         @Override
         public void bound(int most) { }
@@ -231,8 +231,8 @@
         }
 
         @Override
-        public void connect(InetSocketAddress address, Link link) {
-            execute(() -> link.opened(new Pipe(link, true)));
+        public void connect(InetSocketAddress address, ConnectionHandler handler) {
+            execute(() -> handler.opened(new Pipe(handler, true)));
         }
     }
 }
--- a/balancer/src/main/java/gorsestack/settings/Limits.java
+++ b/balancer/src/main/java/gorsestack/settings/Limits.java
@@ -84,7 +84,7 @@
             leastSlo = Math.min(leastSlo, product.path("latencySlo").asDouble());
         }
         return new Limits(
-                // Callers may hold a third of all for their calls, each call a shot: the same for both, and in each
+                // Callers may hold a third of all for their calls, each call an attempt: the same for both, and in each
                 // half room for what is idle, and for clients that mean no good.
                 sockets / 2 - 8,
                 sockets / 2,
@@ -99,7 +99,7 @@
                 // What waits to go out of one, and of all together: a seventh of the heap.
                 64 << 10,
                 6 << 20,
-                // What one connection may have read ahead of the owner; 60 MB at full speed are more than the heap.
+                // What one connection may have read ahead of the event loop; 60 MB at full speed are more than the heap.
                 48 << 10,
                 // Thrown away to see the end behind it: some milliseconds of reading.
                 8 << 20,
--- a/balancer/src/main/java/gorsestack/settings/SettingsReader.java
+++ b/balancer/src/main/java/gorsestack/settings/SettingsReader.java
@@ -31,7 +31,7 @@
         JsonNode rules = info.path("rules");
         return new Settings(info.path("me").asInt(0), info.path("replicasOfMe").asInt(1), info.path("tier").asInt(0),
                 info.path("az").asText(""), texts(info.path("zones")), products,
-                new Limits(shots(limits), limits.path("mayCancel").asBoolean(false),
+                new Limits(attempts(limits), limits.path("mayCancel").asBoolean(false),
                         limits.path("secondCopies").asBoolean(false),
                         limits.path("retryAfter").asBoolean(false),
                         nanos(limits, "maxRetryAfter", 0), limits.path("peers").asBoolean(false)),
@@ -58,7 +58,7 @@
         return texts;
     }
 
-    private static int shots(JsonNode limits) {
+    private static int attempts(JsonNode limits) {
         int most = limits.path("mostShots").asInt(0);
         return most > 0 ? most : ENDLESS;
     }
--- a/balancer/src/main/java/gorsestack/simhost/SimHost.java
+++ b/balancer/src/main/java/gorsestack/simhost/SimHost.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import gorsestack.decision.Choice;
+import gorsestack.decision.BalancingPolicy;
 import gorsestack.decision.Outcome;
 import gorsestack.decision.Upstreams;
 import gorsestack.settings.BadSettings;
@@ -32,7 +32,7 @@
     private final OutputStream out;
     private final PrintStream err;
     private final JsonFactory json = new JsonFactory(new ObjectMapper());
-    private final Map<Long, Choice> balancers = new HashMap<>();
+    private final Map<Long, BalancingPolicy> balancers = new HashMap<>();
     private final Map<Long, List<Upstreams.Entry>> sheets = new HashMap<>();
     private JsonGenerator writer;
     private long round = -1;
@@ -181,11 +181,11 @@
             }
             var settings = SettingsReader.read(parser.readValueAsTree());
             guard(instance, () -> balancers.put(instance,
-                    new Choice(settings, seed, now, new Writer(this, instance))));
+                    new BalancingPolicy(settings, seed, now, new Writer(this, instance))));
             return;
         }
-        Choice choice = balancers.get(instance);
-        if (choice == null) {
+        BalancingPolicy policy = balancers.get(instance);
+        if (policy == null) {
             return;
         }
         switch (name) {
@@ -193,7 +193,7 @@
                 long form = row.whole("form");
                 row.numberOr("rev", 0);
                 Upstreams news = news(form, form == 4 ? -1 : row.whole("bank"));
-                guard(instance, () -> choice.upstreams(now, news));
+                guard(instance, () -> policy.upstreams(now, news));
             }
             case "NEW_REQUEST" -> {
                 String id = row.text("ref");
@@ -203,40 +203,40 @@
                 double left = row.numberOr("remaining", Double.NaN);
                 row.numberOr("costGuess", 0);
                 row.numberOr("marks", 0);
-                guard(instance, () -> choice.apiCall(now, id, product, tenant,
+                guard(instance, () -> policy.apiCall(now, id, product, tenant,
                         Double.isNaN(left) ? -1 : Math.max(0, nanos(left))));
             }
             case "ANSWER" -> {
                 String id = row.text("ref");
-                int shot = (int) row.whole("seqNo");
+                int attempt = (int) row.whole("seqNo");
                 String upstream = row.textOrNull("upstream");
                 Outcome outcome = outcome(row.text("code"));
                 long took = nanos(row.numberOr("costTime", 0));
                 boolean closed = row.flag("closed");
                 double[] report = row.numbersOrNull();
                 if (upstream != null && report != null) {
-                    guard(instance, () -> choice.report(now, upstream, report));
+                    guard(instance, () -> policy.report(now, upstream, report));
                 }
-                guard(instance, () -> choice.outcome(now, id, shot, outcome, took, closed));
+                guard(instance, () -> policy.outcome(now, id, attempt, outcome, took, closed));
             }
             case "PEER_DATA" -> {
                 row.whole("originPeer");
                 byte[] message = bytes(row.textOrNull("bytes"));
-                guard(instance, () -> choice.peer(now, message));
+                guard(instance, () -> policy.peer(now, message));
             }
             case "BEGUN" -> {
                 String id = row.text("ref");
                 row.numberOr("costTime", 0);
-                int shot = (int) row.whole("seqNo");
-                guard(instance, () -> choice.started(now, id, shot));
+                int attempt = (int) row.whole("seqNo");
+                guard(instance, () -> policy.started(now, id, attempt));
             }
             case "CLIENT_GONE" -> {
                 String id = row.text("ref");
-                guard(instance, () -> choice.clientGone(now, id));
+                guard(instance, () -> policy.clientGone(now, id));
             }
             case "DEADLINE_HIT" -> {
                 long token = row.whole("mark");
-                guard(instance, () -> choice.wake(now, token));
+                guard(instance, () -> policy.wake(now, token));
             }
             case "DESTROY" -> balancers.remove(instance);
             default -> { }
--- a/balancer/src/main/java/gorsestack/simhost/Writer.java
+++ b/balancer/src/main/java/gorsestack/simhost/Writer.java
@@ -17,18 +17,18 @@
     }
 
     @Override
-    public void shot(String apiCall, String upstream, long giveUpAfter) {
+    public void attempt(String apiCall, String upstream, long giveUpAfter) {
         write("TRANSMIT", apiCall, upstream, SimHost.millis(giveUpAfter));
     }
 
     @Override
-    public void cancel(String apiCall, int shot) {
-        write("RETRACT", apiCall, shot);
+    public void cancel(String apiCall, int attempt) {
+        write("RETRACT", apiCall, attempt);
     }
 
     /** The simulator hands the first success to the client by itself. */
     @Override
-    public void fulfilled(String apiCall, int shot) { }
+    public void fulfilled(String apiCall, int attempt) { }
 
     @Override
     public void rateLimited(String apiCall, long comeBackAfter) {
--- a/balancer/src/main/java/gorsestack/wire/Channel.java
+++ b/balancer/src/main/java/gorsestack/wire/Channel.java
@@ -1,6 +1,6 @@
 package gorsestack.wire;
 
-/** What a link may do to its connection. */
+/** What a handler may do to its connection. */
 public interface Channel {
 
     void write(byte[] bytes);
@@ -11,14 +11,14 @@
     /** Whether the other side may still be there: false once its end, a reset or our own close is known to the socket. */
     boolean open();
 
-    /** Whether something was read that the link has not been given yet. */
+    /** Whether something was read that the handler has not been given yet. */
     boolean asked();
 
     /** Ends it at once, whatever is under way. */
     void close();
 
     /**
-     * Ends it in order: what was written goes out, then the output is shut and the link hears closed; what still comes is read
+     * Ends it in order: what was written goes out, then the output is shut and the handler hears closed; what still comes is read
      * and thrown away, within a bound of time and bytes. Danger: a close over unread bytes resets the connection under its answer.
      */
     void finish();
@@ -27,7 +27,7 @@
     void discard();
 
     /**
-     * The same as finish, unless something was read that the link has not been given yet: then nothing happens. Danger: a request read
+     * The same as finish, unless something was read that the handler has not been given yet: then nothing happens. Danger: a request read
      * between the decision to close and the close; its client would not send it again, and nobody would answer it.
      */
     void finishUnlessAsked();
--- a/balancer/src/main/java/gorsestack/wire/ClientConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientConnection.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /** A connection that a client opened: one API call at a time, each with one answer. */
-public final class ClientConnection implements Link, Body.Source, Body.Target {
+public final class ClientConnection implements ConnectionHandler, Body.Source, Body.Target {
     /** Where calls go. */
     public interface Intake {
         void opened(ClientConnection from);
@@ -50,7 +50,7 @@
 
     private final Limits limits;
     private final Intake intake;
-    private final Owner owner;
+    private final EventLoop eventLoop;
     private final ArrayDeque<Chunk> ahead = new ArrayDeque<>(1);
     private int aheadBytes;
     private HttpParser parser;
@@ -79,8 +79,8 @@
     private boolean told;
     private boolean closed;
 
-    public ClientConnection(Limits limits, Owner owner, Intake intake) {
-        this.owner = owner;
+    public ClientConnection(Limits limits, EventLoop eventLoop, Intake intake) {
+        this.eventLoop = eventLoop;
         this.limits = limits;
         this.intake = intake;
         parser = HttpParser.request(limits);
@@ -89,7 +89,7 @@
     @Override
     public void opened(Channel opened) {
         channel = opened;
-        openedAt = owner.now();
+        openedAt = eventLoop.now();
         begunAt = openedAt;
         idleSince = openedAt;
         intake.opened(this);
@@ -100,7 +100,7 @@
         if (closed) {
             return;
         }
-        movedAt = owner.now();
+        movedAt = eventLoop.now();
         leaving = false;
         if (deaf && upload != null) {
             discard(bytes);
@@ -150,9 +150,9 @@
     @Override
     public void hold(boolean stop) {
         paused = stop;
-        movedAt = owner.now();
+        movedAt = eventLoop.now();
         if (!stop && !ahead.isEmpty()) {
-            owner.execute(this::readAhead);
+            eventLoop.execute(this::readAhead);
         }
     }
 
@@ -322,7 +322,7 @@
             return;
         }
         told = false;
-        idleSince = owner.now();
+        idleSince = eventLoop.now();
         parser = HttpParser.request(limits);
         if (held) {
             held = false;
@@ -331,7 +331,7 @@
         busy = false;
         if (!ahead.isEmpty()) {
             // Danger: hundreds of calls sent ahead, each answered at once, would be read inside each other.
-            owner.execute(this::readAhead);
+            eventLoop.execute(this::readAhead);
         }
     }
 
@@ -355,7 +355,7 @@
 
     /** Danger: what begins and never ends, or never begins, would take up all connections that clients may have. */
     public void giveUpIfOverdue() {
-        long now = owner.now();
+        long now = eventLoop.now();
         if (answering != null && now - movedAt >= limits.restOfStream()) {
             drop(); // takes nothing of what it asked for
         }
@@ -377,7 +377,7 @@
 
     /** What is closed first when room is short: answered and lingering, then never heard of, then idle; else 9. */
     public int spared() {
-        long now = owner.now();
+        long now = eventLoop.now();
         if (lingering) {
             return 0;
         }
@@ -445,7 +445,7 @@
 
     @Override
     public void sent() {
-        movedAt = owner.now();
+        movedAt = eventLoop.now();
         if (answering != null) {
             answering.sent();
         }
--- a/balancer/src/main/java/gorsestack/wire/Link.java
+++ b/balancer/src/main/java/gorsestack/wire/ConnectionHandler.java
@@ -1,7 +1,7 @@
 package gorsestack.wire;
 
 /** One end of a connection: an object with callbacks, all made on the thread that owns the memory. */
-public interface Link {
+public interface ConnectionHandler {
     void opened(Channel channel);
 
     /** What came, and when it was read from the socket. */
--- a/balancer/src/main/java/gorsestack/wire/Discovery.java
+++ b/balancer/src/main/java/gorsestack/wire/Discovery.java
@@ -21,7 +21,7 @@
     private static final System.Logger LOG = System.getLogger("gorsestack.discovery");
 
     private final Network network;
-    private final Owner owner;
+    private final EventLoop eventLoop;
     private final Limits limits;
     private final Listener listener;
     private InetSocketAddress address;
@@ -31,9 +31,9 @@
     private long index;
     private long confirmedAt;
 
-    public Discovery(Network network, Owner owner, Limits limits, InetSocketAddress address, long index, Listener listener) {
+    public Discovery(Network network, EventLoop eventLoop, Limits limits, InetSocketAddress address, long index, Listener listener) {
         this.network = network;
-        this.owner = owner;
+        this.eventLoop = eventLoop;
         this.limits = limits;
         this.address = address;
         this.index = index;
@@ -86,7 +86,7 @@
         }
     }
 
-    private final class Watch implements Link {
+    private final class Watch implements ConnectionHandler {
         private final ByteArrayOutputStream line = new ByteArrayOutputStream(256);
         private final HttpParser parser = HttpParser.stream(limits, this::bytes);
         private final InetSocketAddress at;
@@ -110,15 +110,15 @@
         /** Begins, unless it is not wanted any more. */
         void start() {
             if (!over()) {
-                startedAt = owner.now();
+                startedAt = eventLoop.now();
                 heardAt = startedAt;
                 network.connect(at, this);
-                owner.at(startedAt + Math.min(limits.listConnect(), silence), () -> {
+                eventLoop.at(startedAt + Math.min(limits.listConnect(), silence), () -> {
                     if (channel == null && !over()) {
                         lost("does not connect");
                     }
                 });
-                owner.at(heardAt + silence, this::check);
+                eventLoop.at(heardAt + silence, this::check);
             }
         }
 
@@ -130,8 +130,8 @@
         private void check() {
             if (!over()) {
                 long due = heardAt + silence;
-                if (owner.now() < due) {
-                    owner.at(due, this::check);
+                if (eventLoop.now() < due) {
+                    eventLoop.at(due, this::check);
                 } else {
                     lost("silent");
                 }
@@ -182,7 +182,7 @@
                 if (!ends(from[i])) {
                     continue;
                 }
-                heardAt = owner.now();
+                heardAt = eventLoop.now();
                 byte[] whole = line.toByteArray();
                 line.reset();
                 if (!new String(whole, StandardCharsets.ISO_8859_1).isBlank()) {
@@ -259,20 +259,20 @@
             }
             end();
             LOG.log(System.Logger.Level.INFO, "watch lost: {0}", why);
-            long now = owner.now();
+            long now = eventLoop.now();
             long soon = now + (long) (listener.jitter() * limits.watchSpread());
             if (moving) {
                 // Danger: what it has to tell counts as told seconds after the move. It is asked until it tells.
                 coming = new Watch(at, after, limits.moveSilence());
-                owner.at(soon, coming::start);
+                eventLoop.at(soon, coming::start);
             } else if (coming != null) {
                 return; // the old address takes no new connection; the new one is being asked
             } else if (told) {
-                owner.at(soon, Discovery.this::watch);
+                eventLoop.at(soon, Discovery.this::watch);
             } else {
                 listener.failed();
                 long most = Math.max(limits.watchSpread(), limits.listRetry() - (now - startedAt));
-                owner.at(now + (long) (most * (0.25 + 0.75 * listener.jitter())), Discovery.this::watch);
+                eventLoop.at(now + (long) (most * (0.25 + 0.75 * listener.jitter())), Discovery.this::watch);
             }
         }
     }
--- a/balancer/src/main/java/gorsestack/wire/Owner.java
+++ b/balancer/src/main/java/gorsestack/wire/EventLoop.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.Executor;
 
 /** The one thread that owns the module and all that is kept in memory, and its clock. */
-public interface Owner extends Executor {
+public interface EventLoop extends Executor {
 
     /** Nanoseconds since 1970 that never go back. */
     long now();
--- a/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
+++ b/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
@@ -32,12 +32,12 @@
 
 /** Sockets by Apache MINA: one acceptor and one connector on one processor. */
 public final class MinaNetwork implements Network {
-    private static final String LINK = "link";
+    private static final String HANDLER = "handler";
     private static final String CHANNEL = "channel";
     /** One read of one socket: a usual answer whole, a share of a small heap by hundreds. */
     private static final int MOST_READ = 16 << 10;
 
-    private final Owner owner;
+    private final EventLoop eventLoop;
     private final Limits limits;
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "io");
@@ -47,23 +47,23 @@
     private final OrderlyProcessor processor = new OrderlyProcessor(threads);
     private final BoundedAcceptor acceptor;
     private boolean stopped;
-    /** Bytes of all connections that were read and that the owner has not come to. */
+    /** Bytes of all connections that were read and that the event loop has not come to. */
     private final AtomicLong allQueued = new AtomicLong();
-    /** Connections whose output is shut, the oldest first; of the owner's thread. */
+    /** Connections whose output is shut, the oldest first; of the event loop's thread. */
     private final ArrayDeque<IoSession> lingering = new ArrayDeque<>();
     private final NioSocketConnector connector = new NioSocketConnector(threads, processor);
 
-    public MinaNetwork(Limits limits, Owner owner) {
-        this(limits, owner, false);
+    public MinaNetwork(Limits limits, EventLoop eventLoop) {
+        this(limits, eventLoop, false);
     }
 
     /** Where another process of this balancer may listen for clients beside this one. */
-    public MinaNetwork(Limits limits, Owner owner, boolean beside) {
-        this.owner = owner;
+    public MinaNetwork(Limits limits, EventLoop eventLoop, boolean beside) {
+        this.eventLoop = eventLoop;
         this.limits = limits;
         acceptor = acceptor(limits.mostAccepted(), beside);
         configure(connector.getSessionConfig());
-        // The links bound connecting themselves; this only keeps what they gave up from staying for good.
+        // The handlers bound connecting themselves; this only keeps what they gave up from staying for good.
         connector.setConnectTimeoutMillis(limits.connectBound() / 1_000_000);
         connector.setHandler(new Callbacks(null));
     }
@@ -85,17 +85,17 @@
 
     /** Danger: a SIGTERM during the start; what listens after it would be left to itself. */
     @Override
-    public synchronized void listen(InetSocketAddress address, Supplier<Link> links) throws IOException {
+    public synchronized void listen(InetSocketAddress address, Supplier<ConnectionHandler> handlers) throws IOException {
         if (!stopped) {
-            acceptor.setHandler(new Callbacks(links));
+            acceptor.setHandler(new Callbacks(handlers));
             acceptor.bind(address);
         }
     }
 
     @Override
-    public void listenApart(InetSocketAddress address, int most, Supplier<Link> links) throws IOException {
+    public void listenApart(InetSocketAddress address, int most, Supplier<ConnectionHandler> handlers) throws IOException {
         BoundedAcceptor apart = acceptor(most, false);
-        apart.setHandler(new Callbacks(links));
+        apart.setHandler(new Callbacks(handlers));
         apart.bind(address);
     }
 
@@ -116,11 +116,11 @@
     }
 
     @Override
-    public void connect(InetSocketAddress address, Link link) {
-        ConnectFuture future = connector.connect(address, (session, f) -> session.setAttribute(LINK, link));
+    public void connect(InetSocketAddress address, ConnectionHandler handler) {
+        ConnectFuture future = connector.connect(address, (session, f) -> session.setAttribute(HANDLER, handler));
         future.addListener(f -> {
             if (!future.isConnected()) {
-                owner.execute(link::closed);
+                eventLoop.execute(handler::closed);
             }
         });
     }
@@ -133,37 +133,37 @@
     }
 
     private final class Callbacks extends IoHandlerAdapter {
-        private final Supplier<Link> links;
+        private final Supplier<ConnectionHandler> handlers;
 
-        Callbacks(Supplier<Link> links) {
-            this.links = links;
+        Callbacks(Supplier<ConnectionHandler> handlers) {
+            this.handlers = handlers;
         }
 
         @Override
         public void sessionCreated(IoSession session) {
-            if (links != null) {
-                session.setAttribute(LINK, links.get());
+            if (handlers != null) {
+                session.setAttribute(HANDLER, handlers.get());
             }
         }
 
-        private Link link(IoSession session) {
-            return (Link) session.getAttribute(LINK);
+        private ConnectionHandler handler(IoSession session) {
+            return (ConnectionHandler) session.getAttribute(HANDLER);
         }
 
         @Override
         public void sessionOpened(IoSession session) {
-            Link link = link(session);
-            SessionChannel channel = new SessionChannel((NioSession) session, link);
+            ConnectionHandler handler = handler(session);
+            SessionChannel channel = new SessionChannel((NioSession) session, handler);
             session.setAttribute(CHANNEL, channel);
-            owner.execute(() -> {
-                link.opened(channel);
+            eventLoop.execute(() -> {
+                handler.opened(channel);
                 spareLingering();
             });
         }
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            long at = owner.now();
+            long at = eventLoop.now();
             IoBuffer buffer = (IoBuffer) message;
             SessionChannel channel = (SessionChannel) session.getAttribute(CHANNEL);
             if (channel.discards) {
@@ -172,29 +172,29 @@
             }
             byte[] bytes = new byte[buffer.remaining()];
             buffer.get(bytes);
-            Link link = link(session);
+            ConnectionHandler handler = handler(session);
             channel.reads = channel.reads + 1; // written by this thread alone
             channel.queued(bytes.length);
-            owner.execute(() -> {
+            eventLoop.execute(() -> {
                 channel.queued(-bytes.length);
                 channel.handled++;
-                link.received(bytes, at);
+                handler.received(bytes, at);
             });
         }
 
         @Override
         public void messageSent(IoSession session, Object message) {
-            owner.execute(link(session)::sent);
+            eventLoop.execute(handler(session)::sent);
         }
 
         @Override
         public void sessionClosed(IoSession session) {
-            owner.execute(link(session)::closed);
+            eventLoop.execute(handler(session)::closed);
         }
 
         @Override
         public void inputClosed(IoSession session) {
-            owner.execute(link(session)::ended);
+            eventLoop.execute(handler(session)::ended);
             session.closeNow();
         }
 
@@ -318,15 +318,15 @@
         }
     }
 
-    /** Danger: a sender at full speed fills the memory with what the owner has not come to. */
+    /** Danger: a sender at full speed fills the memory with what the event loop has not come to. */
     private final class SessionChannel implements Channel {
         private final NioSession session;
-        private final Link link;
+        private final ConnectionHandler handler;
         private volatile WriteFuture lastWrite;
         private int queued;
         private boolean held;
         private boolean stopped;
-        /** Pieces read, and those that the link has been given; of the processor's thread and of the owner's. */
+        /** Pieces read, and those that the handler has been given; of the processor's thread and of the event loop's. */
         private volatile int reads;
         private int handled;
         private boolean finishing;
@@ -335,9 +335,9 @@
         private boolean shut;
         private int discarded;
 
-        SessionChannel(NioSession session, Link link) {
+        SessionChannel(NioSession session, ConnectionHandler handler) {
             this.session = session;
-            this.link = link;
+            this.handler = handler;
         }
 
         @Override
@@ -377,7 +377,7 @@
 
         /** Danger: a client that never reads its last answer would keep its connection for good. */
         private void giveUpUnlessWritten(long before) {
-            owner.at(owner.now() + limits.restOfStream(), () -> {
+            eventLoop.at(eventLoop.now() + limits.restOfStream(), () -> {
                 if (open() && unsent() > 0) {
                     if (unsent() < before) {
                         giveUpUnlessWritten(unsent());
@@ -420,13 +420,13 @@
                 return;
             }
             session.resumeRead();
-            owner.execute(() -> {
+            eventLoop.execute(() -> {
                 lingering.add(session);
-                owner.at(owner.now() + limits.linger(), () -> {
+                eventLoop.at(eventLoop.now() + limits.linger(), () -> {
                     lingering.remove(session);
                     session.closeNow();
                 });
-                link.closed();
+                handler.closed();
                 spareLingering();
             });
         }
--- a/balancer/src/main/java/gorsestack/wire/Peers.java
+++ b/balancer/src/main/java/gorsestack/wire/Peers.java
@@ -14,7 +14,7 @@
  * only those from a peer's own address and of a message's length are taken, a few at a time.
  */
 public final class Peers implements AutoCloseable {
-    /** Who is told of a message, on the owner's thread, and which peer's it is. */
+    /** Who is told of a message, on the event loop's thread, and which peer's it is. */
     public interface Told {
         void message(int peer, byte[] message);
     }
@@ -28,20 +28,20 @@
     private final int me;
     private final DatagramSocket socket;
 
-    /** Listens on this balancer's own address among them; messages are told on the owner's thread. */
-    public Peers(List<InetSocketAddress> addresses, int me, Owner owner, Told told) throws IOException {
+    /** Listens on this balancer's own address among them; messages are told on the event loop's thread. */
+    public Peers(List<InetSocketAddress> addresses, int me, EventLoop eventLoop, Told told) throws IOException {
         this.addresses = addresses;
         this.me = me;
         socket = new DatagramSocket(null);
         // Danger: in an upgrade the process before has it open still; either may hear what comes meanwhile.
         socket.setReuseAddress(true);
         socket.bind(addresses.get(me));
-        Thread thread = new Thread(() -> listen(owner, told), "peers");
+        Thread thread = new Thread(() -> listen(eventLoop, told), "peers");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void listen(Owner owner, Told told) {
+    private void listen(EventLoop eventLoop, Told told) {
         AtomicInteger waiting = new AtomicInteger();
         DatagramPacket packet = new DatagramPacket(new byte[LONGEST + 1], LONGEST + 1);
         while (!socket.isClosed()) {
@@ -53,7 +53,7 @@
                 if (packet.getLength() <= LONGEST && peer >= 0 && peer != me && waiting.get() < MOST_WAITING) {
                     byte[] message = Arrays.copyOf(packet.getData(), packet.getLength());
                     waiting.incrementAndGet();
-                    owner.execute(() -> {
+                    eventLoop.execute(() -> {
                         waiting.decrementAndGet();
                         told.message(peer, message);
                     });
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -4,12 +4,12 @@
 import gorsestack.settings.Limits;
 import java.net.InetSocketAddress;
 
-/** A connection to an upstream: one shot at a time, kept between shots. */
-public final class UpstreamConnection implements Link, Body.Source, Body.Target {
+/** A connection to an upstream: one attempt at a time, kept between attempts. */
+public final class UpstreamConnection implements ConnectionHandler, Body.Source, Body.Target {
     /** Where so little of a large answer has come, it may be one with a length that does not fit. */
     private static final int SOME = 4 << 10;
 
-    /** Who waits for the shot under way. */
+    /** Who waits for the attempt under way. */
     public interface Waiting {
         /** How it ended; the answer only where it was fulfilled. */
         void ended(Outcome outcome, Answer answer);
@@ -32,7 +32,7 @@
         /** A connection that had been kept ended under a request, with nothing said to it. */
         void keptInVain();
 
-        /** Whether it may go on coming up though no shot waits for it. */
+        /** Whether it may go on coming up though no attempt waits for it. */
         boolean keepsComing(UpstreamConnection connection);
 
         /** A second answer came behind one. */
@@ -50,7 +50,7 @@
     public long idleSince;
 
     private final Limits limits;
-    private final Owner owner;
+    private final EventLoop eventLoop;
     private final Keeper keeper;
     private Channel channel;
     private HttpParser parser;
@@ -68,9 +68,9 @@
     private boolean silent;
     private boolean closed;
 
-    public UpstreamConnection(Limits limits, Owner owner, Keeper keeper, String upstream, InetSocketAddress address) {
+    public UpstreamConnection(Limits limits, EventLoop eventLoop, Keeper keeper, String upstream, InetSocketAddress address) {
         this.limits = limits;
-        this.owner = owner;
+        this.eventLoop = eventLoop;
         this.keeper = keeper;
         this.upstream = upstream;
         this.address = address;
@@ -80,7 +80,7 @@
         network.connect(address, this);
     }
 
-    /** Sends one shot, once the connection is up. */
+    /** Sends one attempt, once the connection is up. */
     public void send(byte[] request, Body body, Waiting by) {
         kept = parser != null;
         silent = true;
@@ -129,7 +129,7 @@
     @Override
     public void hold(boolean stop) {
         held = stop;
-        lastByteAt = owner.now();
+        lastByteAt = eventLoop.now();
         channel.hold(stop);
     }
 
@@ -180,11 +180,11 @@
             return;
         }
         keeper.heard(upstream);
-        lastByteAt = owner.now();
+        lastByteAt = eventLoop.now();
         silent = false;
         if (waiting == null && rest == null) {
             keeper.answeredTwice();
-            close(); // bytes that no shot asked for; a later one must not take them for its answer
+            close(); // bytes that no attempt asked for; a later one must not take them for its answer
             return;
         }
         try {
@@ -265,13 +265,13 @@
 
     /** Danger: an answer with a length that does not fit never ends, and holds its call until its time is up. */
     private void restOfAnswer() {
-        owner.at(lastByteAt + mostSilence(), () -> {
+        eventLoop.at(lastByteAt + mostSilence(), () -> {
             if (closed || waiting == null && rest == null || !parser.begun()) {
                 checked = false;
-            } else if (!held && owner.now() >= lastByteAt + mostSilence()) {
+            } else if (!held && eventLoop.now() >= lastByteAt + mostSilence()) {
                 end(Outcome.SPOILT);
             } else {
-                lastByteAt = held ? owner.now() : lastByteAt;
+                lastByteAt = held ? eventLoop.now() : lastByteAt;
                 restOfAnswer();
             }
         });
@@ -292,7 +292,7 @@
     }
 
     /**
-     * Gives up the shot under way. Late bytes reach nobody, as its connection goes with it; one that is still coming up has carried
+     * Gives up the attempt under way. Late bytes reach nobody, as its connection goes with it; one that is still coming up has carried
      * nothing, and is kept for the next.
      */
     public void giveUp() {
@@ -348,7 +348,7 @@
         }
     }
 
-    /** Whether it waits to come up with no shot on it. */
+    /** Whether it waits to come up with no attempt on it. */
     public boolean spare() {
         return connecting() && waiting == null;
     }
--- a/balancer/src/test/java/gorsestack/decision/ChoiceTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -20,7 +20,7 @@
 import java.util.function.IntSupplier;
 import org.junit.jupiter.api.Test;
 
-class ChoiceTest {
+class BalancingPolicyTest {
 
     private static Play six(Settings settings, long seed) {
         Play play = new Play(settings, seed);
@@ -63,16 +63,16 @@
                     play.at(play.now + r.nextInt(900) * MS, () -> play.whole(id, left));
                 }
                 if (r.nextInt(30) == 0) {
-                    play.byHand("u" + r.nextInt(6), r.nextBoolean());
-                    play.choice.share(play.now, r.nextBoolean() ? 1 : 0.5);
-                    play.choice.learnt(play.now, new double[][] {{r.nextInt(9) - 1, 0.3, 0.2, 5}, {Double.NaN, 1, 1, 1}, {}});
+                    play.maintenance("u" + r.nextInt(6), r.nextBoolean());
+                    play.policy.share(play.now, r.nextBoolean() ? 1 : 0.5);
+                    play.policy.learnt(play.now, new double[][] {{r.nextInt(9) - 1, 0.3, 0.2, 5}, {Double.NaN, 1, 1, 1}, {}});
                 }
                 for (int k = 0; k < 4; k++) {
-                    int shot = k;
+                    int attempt = k;
                     Outcome outcome = r.nextDouble() > bad ? Outcome.FULFILLED : Outcome.values()[r.nextInt(10)];
                     play.at(play.now + r.nextInt(slowest) * MS, () -> {
-                        if (play.calls.get(id).shots.size() > shot) {
-                            play.end(id, shot, outcome);
+                        if (play.calls.get(id).attempts.size() > attempt) {
+                            play.end(id, attempt, outcome);
                         }
                     });
                 }
@@ -85,7 +85,7 @@
                 // Whatever reports and messages say or leave out.
                 double[] odd = {-1, 0, 3, 40, 1e300, Double.NaN, Double.POSITIVE_INFINITY};
                 double[] row = r.doubles(r.nextInt(4)).map(x -> odd[(int) (x * 7)]).toArray();
-                play.choice.report(play.now, "u" + r.nextInt(8), r.nextInt(9) == 0 ? null : row);
+                play.policy.report(play.now, "u" + r.nextInt(8), r.nextInt(9) == 0 ? null : row);
                 byte[] message = new byte[r.nextInt(300)];
                 r.nextBytes(message);
                 if (!play.told.isEmpty() && r.nextBoolean()) {
@@ -93,7 +93,7 @@
                 } else if (message.length > 0) {
                     message[0] = (byte) r.nextInt(3);
                 }
-                play.choice.peer(play.now, message);
+                play.policy.peer(play.now, message);
                 if (r.nextInt(100) == 0) {
                     play.tell(Form.FAILED);
                 }
@@ -126,7 +126,7 @@
                 play.runTo(play.now + 20 * MS);
                 play.end("c" + i, 0, i % 5 == 0 ? Outcome.ERROR : Outcome.FULFILLED);
             }
-            assertTrue(play.choice.up.size < 80, "indexes: " + play.choice.up.size);
+            assertTrue(play.policy.up.size < 80, "indexes: " + play.policy.up.size);
             play.settle();
         }
     }
@@ -140,14 +140,14 @@
             play.call("c" + i, "once", 1000 * MS);
             Play.ApiCall c = play.calls.get("c" + i);
             if (i >= 30) {
-                used.add(c.shots.get(0).upstream);
+                used.add(c.attempts.get(0).upstream);
             }
-            play.end("c" + i, 0, c.shots.get(0).upstream.equals("u0") ? Outcome.SPOILT : Outcome.FULFILLED);
+            play.end("c" + i, 0, c.attempts.get(0).upstream.equals("u0") ? Outcome.SPOILT : Outcome.FULFILLED);
         }
         assertTrue(used.contains("u0"), used.toString());
     }
 
-    /** Danger: seen with resets and spoilt answers; calls were given up within milliseconds, keyed ones after one shot. */
+    /** Danger: seen with resets and spoilt answers; calls were given up within milliseconds, keyed ones after one attempt. */
     @Test
     void triesAgainAtOnceWhatFailedWithNothingElseOut() {
         Play play = new Play(Play.settings(1, 0, 4, false, Scope.ZONE), 1);
@@ -160,9 +160,9 @@
             play.call(product, product, 1000 * MS);
             Play.ApiCall c = play.calls.get(product);
             play.end(product, 0, Outcome.BROKEN);
-            assertEquals(2, c.shots.size(), "at once");
+            assertEquals(2, c.attempts.size(), "at once");
             play.end(product, 1, Outcome.SPOILT);
-            assertEquals(3, c.shots.size());
+            assertEquals(3, c.attempts.size());
             play.end(product, 2, Outcome.FULFILLED);
             assertEquals("fulfilled", c.answer);
         }
@@ -176,20 +176,20 @@
             Play play = new Play(Play.settings(1, 0, 1, false, Scope.ALL), 1);
             play.tell(Form.CACHED, entry("u0", State.READY, 0, 0, "a"), entry("u1", State.READY, 0, 1, "b"));
             play.call("slow", "once", 12_000 * MS);
-            assertEquals("u0", play.calls.get("slow").shots.get(0).upstream);
+            assertEquals("u0", play.calls.get("slow").attempts.get(0).upstream);
             play.runTo(play.now + 210 * MS);
             long from = play.now;
             int calls = 0;
             for (; play.now < from + ill * MS; play.runTo(play.now + 50 * MS)) {
                 play.call("c" + ++calls, "once", 1000 * MS);
                 play.end("c" + calls, 0, Outcome.FULFILLED);
-                assertEquals("u1", play.calls.get("c" + calls).shots.get(0).upstream);
+                assertEquals("u1", play.calls.get("c" + calls).attempts.get(0).upstream);
             }
             play.tell(Form.CHANGES, entry("u0", State.READY, play.now - 30_000 * MS, 0, "a"));
             long well = play.now;
             while (play.now < well + 6000 * MS) {
                 play.call("c" + ++calls, "once", 1000 * MS);
-                String to = play.calls.get("c" + calls).shots.get(0).upstream;
+                String to = play.calls.get("c" + calls).attempts.get(0).upstream;
                 play.end("c" + calls, 0, Outcome.FULFILLED);
                 if (to.equals("u0")) {
                     break;
@@ -224,8 +224,8 @@
                         String id = "c" + ms;
                         play.call(id, "read", 1000 * MS);
                         Play.ApiCall c = play.calls.get(id);
-                        if (!c.shots.isEmpty()) {
-                            if (c.shots.get(0).upstream.equals("u0") && ms >= warmUp) {
+                        if (!c.attempts.isEmpty()) {
+                            if (c.attempts.get(0).upstream.equals("u0") && ms >= warmUp) {
                                 toCold.add((long) ms - warmUp);
                             }
                             play.at(play.now + 30 * MS, () -> play.end(id, 0, Outcome.FULFILLED));
@@ -243,9 +243,9 @@
         }
     }
 
-    /** The mechanism itself: a second shot at half the time left or 0.6 of the SLO, the first success wins, the other is cancelled. */
+    /** The mechanism itself: a second attempt at half the time left or 0.6 of the SLO, the first success wins, the other is cancelled. */
     @Test
-    void theSecondShotComesAfterThePatienceAndTheLoserIsCancelled() {
+    void theSecondAttemptComesAfterThePatienceAndTheLoserIsCancelled() {
         Play play = six(Play.settings(1, 0, 4, false, Scope.ALL), 1);
         for (int i = 0; i < 40; i++) {
             play.call("paid" + i, "read", 1000 * MS);
@@ -253,12 +253,12 @@
         }
         play.call("c", "read", 1000 * MS);
         play.runTo(play.now + 235 * MS);
-        assertEquals(1, play.calls.get("c").shots.size());
+        assertEquals(1, play.calls.get("c").attempts.size());
         play.runTo(play.now + 10 * MS);
-        assertEquals(2, play.calls.get("c").shots.size());
+        assertEquals(2, play.calls.get("c").attempts.size());
         play.end("c", 1, Outcome.FULFILLED);
         assertEquals("fulfilled", play.calls.get("c").answer);
-        assertTrue(play.calls.get("c").shots.get(0).cancelled);
+        assertTrue(play.calls.get("c").attempts.get(0).cancelled);
         play.settle();
     }
 
@@ -310,8 +310,8 @@
         for (int i = 0; i < 1000; i++) {
             String id = "c" + i;
             play.call(id, "once", 1000 * MS);
-            List<Play.Shot> shots = play.calls.get(id).shots;
-            if (!shots.isEmpty() && shots.get(0).upstream.compareTo("u3") >= 0) {
+            List<Play.Attempt> attempts = play.calls.get(id).attempts;
+            if (!attempts.isEmpty() && attempts.get(0).upstream.compareTo("u3") >= 0) {
                 lost++;
                 play.end(id, 0, Outcome.UNREACHABLE);
             } else {
@@ -322,9 +322,9 @@
         assertTrue(lost > 0 && lost < 20, lost + " calls went to the lost zone");
     }
 
-    /** Danger: a few shots that hang lift the mean of a group that is quick, and its room shrinks to the least. */
+    /** Danger: a few attempts that hang lift the mean of a group that is quick, and its room shrinks to the least. */
     @Test
-    void aFewHungShotsDoNotShrinkTheRoom() {
+    void aFewHungAttemptsDoNotShrinkTheRoom() {
         Play play = six(Play.settings(1, 0, 1, false, Scope.ALL), 1);
         for (int i = 0; i < 2000; i++) {
             play.call("c" + i, "once", 700 * MS);
@@ -350,7 +350,7 @@
         for (int i = 0; i < 160; i++) {
             String id = "c" + i;
             play.call(id, "once", 1000 * MS);
-            boolean isSlow = Integer.parseInt(play.calls.get(id).shots.get(0).upstream.substring(1)) % 2 == 0;
+            boolean isSlow = Integer.parseInt(play.calls.get(id).attempts.get(0).upstream.substring(1)) % 2 == 0;
             slow += isSlow && i >= 40 ? 1 : 0;
             play.fulfilLater(id, (isSlow ? 90 : 30) * MS);
             play.runTo(play.now + 100 * MS);
@@ -378,12 +378,12 @@
                 }
                 String id = "c" + i;
                 play.call(id, "once", 1000 * MS);
-                sent += i >= 20 && play.calls.get(id).shots.get(0).upstream.equals("u0") ? 1 : 0;
+                sent += i >= 20 && play.calls.get(id).attempts.get(0).upstream.equals("u0") ? 1 : 0;
                 play.fulfilLater(id, 30 * MS);
                 play.runTo(play.now + 300 * MS);
             }
         }
-        assertTrue(sent > 200 && sent < 1000, sent + " shots to the cold upstream");
+        assertTrue(sent > 200 && sent < 1000, sent + " attempts to the cold upstream");
     }
 
     /** Danger: in an overload work of little billed value, or with little time left, takes the room of the rest. */
@@ -414,25 +414,25 @@
             for (int i = 0; i < 100; i++) {
                 String id = "c" + calls[0]++;
                 play.call(id, "read", 1000 * MS);
-                to += play.calls.get(id).shots.stream().anyMatch(s -> s.upstream.equals("u1")) ? 1 : 0;
+                to += play.calls.get(id).attempts.stream().anyMatch(s -> s.upstream.equals("u1")) ? 1 : 0;
                 play.fulfilLater(id, 20 * MS);
                 play.runTo(play.now + 50 * MS);
             }
             return to;
         };
         assertTrue(toU1.getAsInt() > 10);
-        play.choice.byHand(play.now, "u1", Figures.OUT);
+        play.policy.maintenance(play.now, "u1", Figures.OUT);
         assertEquals(0, toU1.getAsInt());
         play.tell(Form.CHANGES, entry("u1", State.READY, play.now, 0, "a"));
         assertEquals(0, toU1.getAsInt(), "restarted");
         play.tell(Form.FULL, entry("u2", State.READY, 0, 0, "a"), entry("u3", State.READY, 0, 0, "a"));
         play.tell(Form.CHANGES, entry("u9", State.READY, 0, 0, "a"), entry("u1", State.READY, 0, 0, "a"));
         assertEquals(0, toU1.getAsInt(), "gone and there again");
-        play.choice.byHand(play.now, "u1", play.now);
+        play.policy.maintenance(play.now, "u1", play.now);
         int cold = toU1.getAsInt();
         assertTrue(cold > 0 && cold < 15, cold + " of 100 calls in 5 s to the one called back");
         for (String id : List.of("u1", "u2", "u3", "u9")) {
-            play.choice.byHand(play.now, id, Figures.OUT);
+            play.policy.maintenance(play.now, id, Figures.OUT);
         }
         play.call("none", "once", 1000 * MS);
         assertEquals("rate-limited", play.calls.get("none").answer, "with all out it is answered at once");
@@ -444,7 +444,7 @@
     void spreadsTheAdviceWhileAFleetComesBack() {
         for (double spread : new double[] {0, 0.5, 1}) {
             Play play = six(Play.settings(1, 0, 2, false, Scope.ALL), 1);
-            play.choice.spread(spread);
+            play.policy.spread(spread);
             for (int i = 0; i < 400; i++) {
                 play.call("c" + i, "read", 1000 * MS);
                 play.runTo(play.now + MS);
@@ -457,22 +457,22 @@
 
     /** Dangers: an upload taken for silence; a copy of a body that is not kept; its time counted from its first byte. */
     @Test
-    void givesALargeBodyOneShotAndItsTimeFromItsLastByte() {
+    void givesALargeBodyOneAttemptAndItsTimeFromItsLastByte() {
         Play play = six(Play.settings(1, 0, 2, false, Scope.ALL), 1);
         play.call("lost", "read", Long.MAX_VALUE);
         play.end("lost", 0, Outcome.UNREACHABLE);
-        assertEquals(2, play.calls.get("lost").shots.size(), "all of it is kept so far");
+        assertEquals(2, play.calls.get("lost").attempts.size(), "all of it is kept so far");
         play.calls.get("lost").bound = true;
-        play.choice.body(play.now, "lost", -1);
+        play.policy.body(play.now, "lost", -1);
         play.end("lost", 1, Outcome.UNREACHABLE);
         assertEquals("rate-limited", play.calls.get("lost").answer);
         play.call("slow", "read", Long.MAX_VALUE);
-        String to = play.calls.get("slow").shots.get(0).upstream;
+        String to = play.calls.get("slow").attempts.get(0).upstream;
         play.runTo(play.now + 5_000 * MS);
         int there = 0;
         for (int i = 0; i < 60; i++) {
             play.call("c" + i, "once", 1000 * MS);
-            there += play.calls.get("c" + i).shots.get(0).upstream.equals(to) ? 1 : 0;
+            there += play.calls.get("c" + i).attempts.get(0).upstream.equals(to) ? 1 : 0;
             play.fulfilLater("c" + i, 20 * MS);
             play.runTo(play.now + 30 * MS);
         }
@@ -482,7 +482,7 @@
         play.runTo(play.now + 900 * MS);
         assertEquals(null, play.calls.get("slow").answer);
         play.settle();
-        assertEquals(1, play.calls.get("slow").shots.size());
+        assertEquals(1, play.calls.get("slow").attempts.size());
     }
 
     /** Danger: two processes of one balancer that each act as the whole; one that takes over and has to learn anew. */
@@ -491,13 +491,13 @@
         Play whole = six(Play.settings(1, 0, 1, false, Scope.ALL), 1);
         int most = heldDuring(whole, 300, 5 * MS, 600 * MS).getMax();
         Play half = six(Play.settings(1, 0, 1, false, Scope.ALL), 1);
-        half.choice.share(half.now, 0.5);
+        half.policy.share(half.now, 0.5);
         int mostOfHalf = heldDuring(half, 300, 5 * MS, 600 * MS).getMax();
         assertTrue(mostOfHalf < 0.7 * most, mostOfHalf + " against " + most);
         Play old = six(Play.settings(1, 0, 1, false, Scope.ALL), 1);
         heldDuring(old, 1_500, 10 * MS, 130 * MS);
         Play young = six(Play.settings(1, 0, 1, false, Scope.ALL), 1);
-        young.choice.learnt(young.now, old.choice.learnt());
+        young.policy.learnt(young.now, old.policy.learnt());
         assertTrue(heldDuring(young, 60, MS, 500 * MS).getMax() > 1.2 * heldDuring(six(Play.settings(1, 0, 1, false, Scope.ALL), 1),
                 60, MS, 500 * MS).getMax());
     }
@@ -508,7 +508,7 @@
         int to = 0;
         for (int i = 0; i < calls; i++) {
             play.call("c" + i, "once", 1000 * MS);
-            if (play.calls.get("c" + i).shots.get(0).upstream.equals("u1")) {
+            if (play.calls.get("c" + i).attempts.get(0).upstream.equals("u1")) {
                 to++;
                 does.accept(play, "c" + i);
             } else {
@@ -520,7 +520,7 @@
     }
 
     /**
-     * Dangers: a hung upstream fails nothing until its shots time out; a choked one answers each call in the end
+     * Dangers: a hung upstream fails nothing until its attempts time out; a choked one answers each call in the end
      * and is healed by it; one that fails half its calls fast is healed by the rest and has the most turns.
      */
     @Test
@@ -544,7 +544,7 @@
                         s.reports(), true, 0, MS), 1);
         play.tell(Form.CACHED, new Upstreams.Entry("u0", State.READY, 0, 0, 0, "", "a"));
         assertTimeoutPreemptively(Duration.ofSeconds(5), () -> play.call("c", "once", 1000 * MS));
-        assertEquals(1, play.calls.get("c").shots.size());
+        assertEquals(1, play.calls.get("c").attempts.size());
     }
 
     /** Of so many calls to one of a thousand balancers, those that go to u0, after what happens before each. */
@@ -555,8 +555,8 @@
         for (int i = 0; i < calls; i++) {
             before.accept(play, i);
             play.call("c" + i, "once", 1000 * MS);
-            List<Play.Shot> shots = play.calls.get("c" + i).shots;
-            to += !shots.isEmpty() && shots.get(0).upstream.equals("u0") ? 1 : 0;
+            List<Play.Attempt> attempts = play.calls.get("c" + i).attempts;
+            to += !attempts.isEmpty() && attempts.get(0).upstream.equals("u0") ? 1 : 0;
             play.fulfilLater("c" + i, 20 * MS);
             play.runTo(play.now + 100 * MS);
         }
@@ -568,8 +568,8 @@
     @Test
     void goesByOwnReportsAndByWhatPeersTell() {
         BiConsumer<Play, Integer> hear = (play, i) -> {
-            play.choice.report(play.now, "u0", new double[] {5, 30});
-            play.choice.report(play.now, "u1", new double[] {30, 3});
+            play.policy.report(play.now, "u0", new double[] {5, 30});
+            play.policy.report(play.now, "u1", new double[] {30, 3});
         };
         assertTrue(callsToU0(100, 0, (play, i) -> { }) > 30, "nothing told, nothing preferred");
         int byReports = callsToU0(100, 0, hear);
@@ -580,10 +580,10 @@
         int byNews = callsToU0(100, 3, (play, i) -> {
             teller.now = play.now;
             hear.accept(teller, i);
-            teller.choice.report(teller.now, "u9", new double[] {30, 3});
+            teller.policy.report(teller.now, "u9", new double[] {30, 3});
             teller.call("t" + i, "once", 1000 * MS);
             teller.end("t" + i, 0, Outcome.FULFILLED);
-            play.choice.peer(play.now, teller.told.get(teller.told.size() - 1));
+            play.policy.peer(play.now, teller.told.get(teller.told.size() - 1));
         });
         assertTrue(byNews < 12, byNews + " calls to the slow one by messages");
         assertEquals(200, teller.told.size(), "two an answer");
@@ -594,12 +594,12 @@
     void takesSilenceForALongStay() {
         Play play = new Play(Play.reporting(Play.settings(1000, 0, 1, false, Scope.ALL), 0), 1);
         play.tell(Form.CACHED, entry("u0", State.READY, 0, 0, "a"));
-        play.choice.report(play.now, "u0", new double[] {30, 3});
-        double before = play.choice.up.slowness[0];
+        play.policy.report(play.now, "u0", new double[] {30, 3});
+        double before = play.policy.up.slowness[0];
         play.runTo(play.now + 10 * MS);
         play.call("c", "once", 1000 * MS);
         play.runTo(play.now + 900 * MS);
-        assertTrue(play.choice.up.slowness[0] > 2 * before, before + " to " + play.choice.up.slowness[0]);
+        assertTrue(play.policy.up.slowness[0] > 2 * before, before + " to " + play.policy.up.slowness[0]);
     }
 
     /** Danger: with all turned away nothing is sent, no news comes, and all is turned away for good. */
@@ -608,13 +608,13 @@
         Play play = new Play(Play.reporting(Play.settings(1000, 0, 1, false, Scope.ALL), 0), 1);
         play.tell(Form.CACHED, entry("u0", State.READY, 0, 0, "a"));
         for (int i = 0; i < 20; i++) {
-            play.choice.report(play.now, "u0", new double[] {1, 200});
+            play.policy.report(play.now, "u0", new double[] {1, 200});
         }
         int[] taken = new int[2];
         for (int i = 0; i < 1100; i++) {
             int after = i < 1000 ? 0 : 1;
             play.call("c" + i, "once", 1000 * MS);
-            taken[after] += play.calls.get("c" + i).shots.size();
+            taken[after] += play.calls.get("c" + i).attempts.size();
             play.fulfilLater("c" + i, 10 * MS);
             play.runTo(play.now + (i == 999 ? 30_000 : after == 0 ? 1 : 20) * MS);
         }
--- a/balancer/src/test/java/gorsestack/decision/ColdFleetTest.java
+++ b/balancer/src/test/java/gorsestack/decision/ColdFleetTest.java
@@ -25,7 +25,7 @@
     /** One process: tells of each attempt. */
     private static final class Process implements Outgoing {
         final World world;
-        Choice choice;
+        BalancingPolicy policy;
         int calls;
 
         Process(World world) {
@@ -33,32 +33,32 @@
         }
 
         @Override
-        public void shot(String apiCall, String upstream, long giveUpAfter) {
+        public void attempt(String apiCall, String upstream, long giveUpAfter) {
             if (upstream.equals("cold")) {
                 world.sent.add(world.now);
             }
-            int n = world.attempts++;
-            Choice by = choice;
+            int n = world.begun++;
+            BalancingPolicy by = policy;
             long took = world.scenario == Scenario.COPIES && world.random.nextInt(4) == 0 ? 300 * MS : 20 * MS;
-            int shot = world.shotsOf(apiCall);
-            world.at(world.now + took, () -> by.outcome(world.now, apiCall, shot, world.scenario == Scenario.COPIES && n % 10 == 0
+            int attempt = world.attemptsOf(apiCall);
+            world.at(world.now + took, () -> by.outcome(world.now, apiCall, attempt, world.scenario == Scenario.COPIES && n % 10 == 0
                     ? Outcome.FULL : Outcome.FULFILLED, took, false));
         }
 
         @Override
         public void wake(long token, long at) {
-            Choice by = choice;
+            BalancingPolicy by = policy;
             world.at(at, () -> by.wake(world.now, token));
         }
 
         @Override
-        public void cancel(String apiCall, int shot) {
-            Choice by = choice;
-            world.at(world.now, () -> by.outcome(world.now, apiCall, shot, Outcome.CANCELLED, 0, true));
+        public void cancel(String apiCall, int attempt) {
+            BalancingPolicy by = policy;
+            world.at(world.now, () -> by.outcome(world.now, apiCall, attempt, Outcome.CANCELLED, 0, true));
         }
 
         @Override
-        public void fulfilled(String apiCall, int shot) { }
+        public void fulfilled(String apiCall, int attempt) { }
 
         @Override
         public void rateLimited(String apiCall, long comeBackAfter) { }
@@ -86,18 +86,18 @@
         final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
                 : Long.compare(a.order, b.order));
         final List<Long> sent = new ArrayList<>();
-        final java.util.Map<String, Integer> shots = new java.util.HashMap<>();
+        final java.util.Map<String, Integer> attempts = new java.util.HashMap<>();
         long now;
         long order;
-        int attempts;
+        int begun;
 
         World(Scenario scenario, long seed) {
             this.scenario = scenario;
             random = new SplittableRandom(seed);
         }
 
-        int shotsOf(String call) {
-            return shots.merge(call, 1, Integer::sum) - 1;
+        int attemptsOf(String call) {
+            return attempts.merge(call, 1, Integer::sum) - 1;
         }
 
         void at(long time, Runnable what) {
@@ -145,13 +145,13 @@
         List<Process> all = new ArrayList<>();
         for (int b = 0; b < processes; b++) {
             Process p = new Process(world);
-            p.choice = new Choice(Play.settings(toldInstances, 1, 2, false, Settings.Scope.ALL), seed * 1_000 + b, world.now, p);
-            p.choice.upstreams(world.now, fresh ? new Upstreams(Upstreams.Form.FULL, List.of(Play.entry("cold", State.READY, start, 0, "a")))
+            p.policy = new BalancingPolicy(Play.settings(toldInstances, 1, 2, false, Settings.Scope.ALL), seed * 1_000 + b, world.now, p);
+            p.policy.upstreams(world.now, fresh ? new Upstreams(Upstreams.Form.FULL, List.of(Play.entry("cold", State.READY, start, 0, "a")))
                     : warm(far, false));
-            plant(planted, p.choice);
+            plant(planted, p.policy);
             all.add(p);
             // Told at different moments of the start.
-            Choice told = p.choice;
+            BalancingPolicy told = p.policy;
             world.at(start + (long) (world.random.nextDouble() * 1_000 * MS), () -> {
                 told.upstreams(world.now, new Upstreams(Upstreams.Form.CHANGES, List.of(Play.entry("cold", State.READY, start, 0,
                         far ? "b" : "a"))));
@@ -164,10 +164,10 @@
                     Process p = all.get(b);
                     int number = b;
                     world.at(start + (1_500 + 1_000L * i) * MS + (long) (world.random.nextDouble() * 300 * MS), () -> {
-                        p.choice = new Choice(Play.settings(toldInstances, 1, 2, false, Settings.Scope.ALL),
+                        p.policy = new BalancingPolicy(Play.settings(toldInstances, 1, 2, false, Settings.Scope.ALL),
                                 seed * 1_000 + number + 500 * (round + 1), world.now, p);
-                        p.choice.upstreams(world.now, warm(far, true));
-                        plant(planted, p.choice);
+                        p.policy.upstreams(world.now, warm(far, true));
+                        plant(planted, p.policy);
                     });
                 }
             }
@@ -177,16 +177,16 @@
             arrive(world, p, 0.8 * capacity * 6 / processes, start);
         }
         if (far) {
-            world.at(start + 4_000 * MS, () -> all.forEach(p -> p.choice.upstreams(world.now, new Upstreams(Upstreams.Form.CHANGES,
+            world.at(start + 4_000 * MS, () -> all.forEach(p -> p.policy.upstreams(world.now, new Upstreams(Upstreams.Form.CHANGES,
                     java.util.stream.IntStream.range(1, 6).mapToObj(i -> Play.entry("u" + i, State.GONE, 0, 0, "a")).toList()))));
         }
         world.runTo(start + 8_000 * MS);
     }
 
     /** A first turn at once, as if it were not drawn. */
-    private static void plant(Planted planted, Choice choice) {
-        if (planted == Planted.FIRST_TURN && choice.up.index.containsKey("cold")) {
-            choice.up.coldTurn[choice.up.of("cold")] = true;
+    private static void plant(Planted planted, BalancingPolicy policy) {
+        if (planted == Planted.FIRST_TURN && policy.up.index.containsKey("cold")) {
+            policy.up.coldTurn[policy.up.of("cold")] = true;
         }
     }
 
@@ -210,7 +210,7 @@
             boolean pause = world.scenario == Scenario.PAUSE && since > 0 && since < 3_000 * MS;
             boolean less = world.scenario == Scenario.LOST_ZONE && since > 4_000 * MS && world.random.nextInt(3) > 0;
             if (!pause && !less) {
-                p.choice.apiCall(world.now, p.hashCode() + "-" + p.calls++, "read", null, 1_000 * MS);
+                p.policy.apiCall(world.now, p.hashCode() + "-" + p.calls++, "read", null, 1_000 * MS);
             }
             arrive(world, p, perSecond, start);
         });
--- a/balancer/src/test/java/gorsestack/decision/Play.java
+++ b/balancer/src/test/java/gorsestack/decision/Play.java
@@ -19,7 +19,7 @@
 final class Play implements Outgoing {
     static final long MS = 1_000_000;
 
-    static final class Shot {
+    static final class Attempt {
         String upstream;
         long at;
         Outcome ended;
@@ -31,7 +31,7 @@
         Product product;
         long from, until, answeredAt, advice;
         boolean bound;
-        List<Shot> shots = new ArrayList<>();
+        List<Attempt> attempts = new ArrayList<>();
     }
 
     private record Due(long at, long order, Runnable what) { }
@@ -42,7 +42,7 @@
     final List<String> wrongs = new ArrayList<>();
     final SplittableRandom random;
     final Settings settings;
-    final Choice choice;
+    final BalancingPolicy policy;
     long now = 1000 * MS;
     int watches;
     int closes;
@@ -54,7 +54,7 @@
     Play(Settings settings, long seed) {
         this.settings = settings;
         random = new SplittableRandom(seed);
-        choice = new Choice(settings, seed, now, this);
+        policy = new BalancingPolicy(settings, seed, now, this);
     }
 
     static Product product(String name, Repeat repeat, Scope scope) {
@@ -62,17 +62,17 @@
                 repeat == Repeat.NON_IDEMPOTENT ? 3 : 1, 0.5);
     }
 
-    static Settings settings(int instances, int tier, int mostShots, boolean ask, Scope scope) {
+    static Settings settings(int instances, int tier, int mostAttempts, boolean ask, Scope scope) {
         return new Settings(0, instances, tier, "a", List.of("a", "b"), List.of(
                 product("read", Repeat.IDEMPOTENT, Scope.ALL), product("mark", Repeat.DEDUPLICATED, scope),
                 product("once", Repeat.NON_IDEMPOTENT, Scope.ALL)),
-                new Limits(mostShots, true, true, true, 500 * MS, false),
+                new Limits(mostAttempts, true, true, true, 500 * MS, false),
                 new Rules(10_000 * MS, 20_000 * MS, 0.15, 2.5, 1_000 * MS), ask, false, Settings.Reports.NONE, true, 0, MS);
     }
 
     /** The same where upstreams report calls answered a second and calls held, and balancers may tell one another. */
     static Settings reporting(Settings s, int me) {
-        return new Settings(me, s.instances(), s.tier(), s.zone(), s.zones(), s.products(), new Limits(s.limits().mostShots(),
+        return new Settings(me, s.instances(), s.tier(), s.zone(), s.zones(), s.products(), new Limits(s.limits().mostAttempts(),
                 true, true, true, 500 * MS, true), s.rules(), s.asksForList(), false,
                 new Settings.Reports(List.of("rps", "active"), 1, 0), true, 0, MS);
     }
@@ -88,7 +88,7 @@
         for (Upstreams.Entry e : entries) {
             list.put(e.id(), e);
         }
-        choice.upstreams(now, new Upstreams(form, List.of(entries)));
+        policy.upstreams(now, new Upstreams(form, List.of(entries)));
     }
 
     void call(String id, String product, long left) {
@@ -98,12 +98,12 @@
         c.from = now;
         c.until = left == Long.MAX_VALUE ? left : now + left;
         calls.put(id, c);
-        choice.apiCall(now, id, product, "t", left);
+        policy.apiCall(now, id, product, "t", left);
     }
 
-    void byHand(String id, boolean isOut) {
+    void maintenance(String id, boolean isOut) {
         if (isOut ? out.add(id) : out.remove(id)) {
-            choice.byHand(now, id, isOut ? Figures.OUT : now);
+            policy.maintenance(now, id, isOut ? Figures.OUT : now);
         }
     }
 
@@ -112,11 +112,11 @@
         ApiCall c = calls.get(id);
         if (c.answer == null) {
             c.bound = true;
-            choice.body(now, id, -1);
+            policy.body(now, id, -1);
         }
         if (c.answer == null) {
             c.until = now + left;
-            choice.body(now, id, left);
+            policy.body(now, id, left);
         }
     }
 
@@ -133,16 +133,16 @@
         now = time;
     }
 
-    void end(String id, int shot, Outcome outcome) {
+    void end(String id, int attempt, Outcome outcome) {
         ApiCall c = calls.get(id);
-        Shot s = c.shots.get(shot);
+        Attempt s = c.attempts.get(attempt);
         if (s.ended == null) {
             s.ended = outcome;
-            choice.outcome(now, id, shot, outcome, now - s.at, outcome == Outcome.FULFILLED || c.answer != null);
+            policy.outcome(now, id, attempt, outcome, now - s.at, outcome == Outcome.FULFILLED || c.answer != null);
         }
     }
 
-    /** The call's first shot succeeds after that time, unless the call has had its answer by then. */
+    /** The call's first attempt succeeds after that time, unless the call has had its answer by then. */
     void fulfilLater(String id, long after) {
         at(now + after, () -> {
             if (calls.get(id).answer == null) {
@@ -155,29 +155,29 @@
         wrongs.add(what + " for " + c.id + " (" + c.product.name() + ") at " + (now - c.from) / MS + " ms");
     }
 
-    private static boolean mayHaveRun(Shot s) {
+    private static boolean mayHaveRun(Attempt s) {
         return s.ended == null || !s.ended.provesItNeverRan;
     }
 
     @Override
-    public void shot(String id, String upstream, long giveUpAfter) {
+    public void attempt(String id, String upstream, long giveUpAfter) {
         ApiCall c = calls.get(id);
         if (c.answer != null || now >= c.until) {
-            wrong("a shot after the end", c);
+            wrong("an attempt after the end", c);
         }
         if (list.get(upstream) == null || list.get(upstream).state() != Upstreams.State.READY) {
-            wrong("a shot to a draining or gone upstream", c);
+            wrong("an attempt to a draining or gone upstream", c);
         }
         if (out.contains(upstream)) {
-            wrong("a shot to an upstream that is out by hand", c);
+            wrong("an attempt to an upstream that is out by hand", c);
         }
         if (c.bound) {
             wrong("a copy of a body that is not kept", c);
         }
-        if (c.shots.size() >= settings.limits().mostShots()) {
-            wrong("a shot too many", c);
+        if (c.attempts.size() >= settings.limits().mostAttempts()) {
+            wrong("an attempt too many", c);
         }
-        for (Shot s : c.shots) {
+        for (Attempt s : c.attempts) {
             if (mayHaveRun(s) && c.product.repeat() == Repeat.NON_IDEMPOTENT) {
                 wrong("a second effect", c);
             }
@@ -193,20 +193,20 @@
                 }
             }
         }
-        Shot s = new Shot();
+        Attempt s = new Attempt();
         s.upstream = upstream;
         s.at = now;
-        c.shots.add(s);
-        int number = c.shots.size() - 1;
+        c.attempts.add(s);
+        int number = c.attempts.size() - 1;
         if (c.until < Long.MAX_VALUE) {
             at(now + giveUpAfter, () -> end(id, number, Outcome.TIMED_OUT));
         }
     }
 
     @Override
-    public void cancel(String id, int shot) {
-        calls.get(id).shots.get(shot).cancelled = true;
-        at(now, () -> end(id, shot, Outcome.CANCELLED));
+    public void cancel(String id, int attempt) {
+        calls.get(id).attempts.get(attempt).cancelled = true;
+        at(now, () -> end(id, attempt, Outcome.CANCELLED));
     }
 
     private void answer(String id, String answer) {
@@ -222,7 +222,7 @@
     }
 
     @Override
-    public void fulfilled(String id, int shot) {
+    public void fulfilled(String id, int attempt) {
         answer(id, "fulfilled");
     }
 
@@ -246,13 +246,13 @@
     }
 
     private boolean harmless(ApiCall c) {
-        return c.product.repeat() == Repeat.IDEMPOTENT || c.shots.stream().noneMatch(Play::mayHaveRun)
+        return c.product.repeat() == Repeat.IDEMPOTENT || c.attempts.stream().noneMatch(Play::mayHaveRun)
                 || c.product.repeat() == Repeat.DEDUPLICATED && c.product.scope() == Scope.ALL;
     }
 
     @Override
     public void wake(long token, long time) {
-        at(Math.max(time, now + settings.step()), () -> choice.wake(now, token));
+        at(Math.max(time, now + settings.step()), () -> policy.wake(now, token));
     }
 
     @Override
--- a/balancer/src/test/java/gorsestack/memory/CallsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CallsTest.java
@@ -13,9 +13,9 @@
 import gorsestack.wire.Catalog;
 import gorsestack.wire.Channel;
 import gorsestack.wire.ClientConnection;
-import gorsestack.wire.Link;
+import gorsestack.wire.ConnectionHandler;
 import gorsestack.wire.Network;
-import gorsestack.wire.Owner;
+import gorsestack.wire.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -42,7 +42,7 @@
 
     private static final class Socket implements Channel {
         InetSocketAddress to;
-        Link link;
+        ConnectionHandler handler;
         String out = "";
         boolean open;
         boolean up;
@@ -60,7 +60,7 @@
                 out += new String(bytes, StandardCharsets.ISO_8859_1);
                 rig.touched = to == null || to.getPort() >= 8500 ? rig.touched : this;
                 if (!stuck) {
-                    rig.execute(link::sent);
+                    rig.execute(handler::sent);
                 }
             }
         }
@@ -110,13 +110,13 @@
         void up() {
             open = true;
             up = true;
-            rig.execute(() -> link.opened(this));
+            rig.execute(() -> handler.opened(this));
             rig.drain();
         }
 
         void end() {
             open = false;
-            rig.execute(link::closed);
+            rig.execute(handler::closed);
         }
 
         void say(String text) {
@@ -124,13 +124,13 @@
             rig.drain();
         }
 
-        /** Read from the socket, and not yet given to the link. */
+        /** Read from the socket, and not yet given to the handler. */
         void read(String text) {
             byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
             read++;
             rig.execute(() -> {
                 given++;
-                link.received(bytes, rig.now);
+                handler.received(bytes, rig.now);
             });
         }
 
@@ -145,7 +145,7 @@
         }
     }
 
-    private static final class Rig implements Owner, Network {
+    private static final class Rig implements EventLoop, Network {
         long now = 1_700_000_000_000L * MS;
         long order;
         final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
@@ -155,7 +155,7 @@
         /** Sockets accepted of which the balancer has not heard yet. */
         int accepted;
         Socket touched;
-        Supplier<Link> links;
+        Supplier<ConnectionHandler> handlers;
         final Calls calls;
         static final InetSocketAddress DISCOVERY = Catalog.address("127.0.0.1:8500");
 
@@ -164,7 +164,7 @@
             var settings = json.readTree(SETTINGS);
             Limits all = Limits.of(json.readTree(limits), settings);
             calls = new Calls(this, all, SettingsReader.read(settings), 7, this, DISCOVERY, 41);
-            links = () -> new ClientConnection(all, this, calls);
+            handlers = () -> new ClientConnection(all, this, calls);
             calls.news(Catalog.read(json.readTree("{\"index\":41,\"endpoints\":[" + String.join(",", upstreams)
                     + "]}"), Upstreams.Form.CACHED));
             calls.open();
@@ -202,10 +202,10 @@
         }
 
         @Override
-        public void listen(InetSocketAddress address, Supplier<Link> given) { }
+        public void listen(InetSocketAddress address, Supplier<ConnectionHandler> given) { }
 
         @Override
-        public void listenApart(InetSocketAddress address, int most, Supplier<Link> given) { }
+        public void listenApart(InetSocketAddress address, int most, Supplier<ConnectionHandler> given) { }
 
         @Override
         public void bound(int most) { }
@@ -219,30 +219,30 @@
         }
 
         @Override
-        public void connect(InetSocketAddress address, Link link) {
+        public void connect(InetSocketAddress address, ConnectionHandler handler) {
             Socket s = new Socket();
             s.rig = this;
             s.to = address;
-            s.link = link;
+            s.handler = handler;
             dialled.add(s);
             touched = address.getPort() >= 8500 ? touched : s;
             if (answersDials) {
                 s.open = true;
                 s.up = true;
-                execute(() -> link.opened(s));
+                execute(() -> handler.opened(s));
             }
         }
 
         Socket client() {
             Socket s = new Socket();
             s.rig = this;
-            s.link = links.get();
+            s.handler = handlers.get();
             s.up();
             return s;
         }
 
         /** The connections opened to upstreams. */
-        List<Socket> shots() {
+        List<Socket> attempts() {
             return dialled.stream().filter(s -> s.to.getPort() < 8500).toList();
         }
 
@@ -299,7 +299,7 @@
             answered(200, client);
             rig.pass(10);
         }
-        assertEquals(1, rig.shots().size());
+        assertEquals(1, rig.attempts().size());
     }
 
     /** Rule 1: seen on a day of overload; a connection came up just after the answer and got the request. */
@@ -317,22 +317,22 @@
             }
             rig.last().ok("x");
         }
-        rig.shots().stream().filter(s -> s != first).forEach(Socket::end);
+        rig.attempts().stream().filter(s -> s != first).forEach(Socket::end);
         rig.pass(610);
         Socket copy = rig.last();
         assertFalse(copy.up, "a copy is under way, its connection not up");
         // The answer and the connection come in one after the other, before anything else is looked at.
-        rig.execute(() -> first.link.received("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(
+        rig.execute(() -> first.handler.received("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(
                 StandardCharsets.US_ASCII), rig.now));
         copy.open = true;
-        rig.execute(() -> copy.link.opened(copy));
+        rig.execute(() -> copy.handler.opened(copy));
         rig.drain();
         answered(200, client);
         assertEquals("", copy.out);
         assertTrue(copy.open, "carried nothing, so it is kept for the next");
         rig.pass(20);
         client.say(call("once", "next"));
-        assertTrue(rig.last() == copy || rig.shots().stream().filter(s -> s.out.contains("next")).count() == 1);
+        assertTrue(rig.last() == copy || rig.attempts().stream().filter(s -> s.out.contains("next")).count() == 1);
     }
 
     /** Danger: a third of the connections come up later than an attempt waits; each was closed as it came, and the next was as late. */
@@ -347,13 +347,13 @@
         assertEquals("", late.out, "told as one that never ran");
         client.end();
         rig.drain();
-        int dials = rig.shots().size();
-        rig.shots().forEach(Socket::up);
+        int dials = rig.attempts().size();
+        rig.attempts().forEach(Socket::up);
         rig.pass(20);
-        assertEquals(1, rig.shots().stream().filter(s -> s.open).count(), "one of them, the others are closed");
+        assertEquals(1, rig.attempts().stream().filter(s -> s.open).count(), "one of them, the others are closed");
         Socket next = rig.client();
         next.say(call("once", "d"));
-        assertEquals(dials, rig.shots().size(), "no new connection");
+        assertEquals(dials, rig.attempts().size(), "no new connection");
         rig.last().ok("d");
         answered(200, next);
     }
@@ -374,7 +374,7 @@
         second.up();
         second.end();
         rig.drain();
-        assertEquals(2, rig.shots().size(), "it may have run");
+        assertEquals(2, rig.attempts().size(), "it may have run");
         answered(502, client);
         rig.answersDials = true;
         client.say(call("once", "c2"));
@@ -390,10 +390,10 @@
         Socket client = rig.client();
         client.say(call("once", "c1"));
         rig.last().say("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(2, rig.shots().size());
+        assertEquals(2, rig.attempts().size());
         rig.last().say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
         answered(502, client);
-        assertEquals(2, rig.shots().size());
+        assertEquals(2, rig.attempts().size());
         client.say(call("once", "c2"));
         rig.last().say("HTTP/1.1 200 OK\r\n\r\nan answer that has no end");
         rig.pass(300);
@@ -419,7 +419,7 @@
         Socket third = rig.last();
         client.end();
         rig.drain();
-        assertFalse(third.open, "the client has gone, its shot is given up");
+        assertFalse(third.open, "the client has gone, its attempt is given up");
         third.ok("late");
         Socket other = rig.client();
         other.say(call("read", "c4"));
@@ -435,17 +435,17 @@
         Socket b = rig.client();
         a.say(call("read", "a"));
         b.say(call("read", "b"));
-        rig.shots().get(0).ok("a");
+        rig.attempts().get(0).ok("a");
         rig.pass(500);
-        rig.shots().get(1).ok("b");
+        rig.attempts().get(1).ok("b");
         rig.pass(9_500);
         a.say(call("read", "c"));
-        rig.shots().get(1).ok("c");
+        rig.attempts().get(1).ok("c");
         rig.pass(12_000);
-        assertFalse(rig.shots().get(0).open, "22 s idle of 30");
-        assertTrue(rig.shots().get(1).open);
+        assertFalse(rig.attempts().get(0).open, "22 s idle of 30");
+        assertTrue(rig.attempts().get(1).open);
         rig.pass(10_000);
-        assertFalse(rig.shots().get(1).open);
+        assertFalse(rig.attempts().get(1).open);
     }
 
     @Test
@@ -453,10 +453,10 @@
         Rig rig = rig(2);
         rig.answersDials = false;
         rig.client().say(call("once", "c"));
-        assertEquals(1, rig.shots().size());
+        assertEquals(1, rig.attempts().size());
         rig.pass(121);
-        assertEquals(2, rig.shots().size(), "no connection in time proves that it never ran");
-        assertTrue(!rig.shots().get(0).to.equals(rig.last().to));
+        assertEquals(2, rig.attempts().size(), "no connection in time proves that it never ran");
+        assertTrue(!rig.attempts().get(0).to.equals(rig.last().to));
     }
 
     /** Rule 2 the other way: a refused connection proves that nothing ran, so even this call goes elsewhere. */
@@ -468,7 +468,7 @@
         client.say(call("once", "c"));
         rig.last().end();
         rig.drain();
-        assertEquals(2, rig.shots().size());
+        assertEquals(2, rig.attempts().size());
         rig.last().up();
         rig.last().ok("c");
         answered(200, client);
@@ -515,23 +515,23 @@
         Socket b = rig.client();
         a.say(call("read", "a"));
         b.say(call("read", "b"));
-        rig.shots().get(0).ok("a");
-        rig.shots().get(1).ok("b");
+        rig.attempts().get(0).ok("a");
+        rig.attempts().get(1).ok("b");
         rig.pass(100);
         a.say(call("once", "c"));
         rig.pass(1200);
-        assertEquals(1, rig.shots().stream().filter(s -> s.open).count(), "only the shot that is out");
+        assertEquals(1, rig.attempts().stream().filter(s -> s.open).count(), "only the attempt that is out");
     }
 
-    /** Seen on a day of zone loss: shots that ran out of time were told as cancelled, and nothing fell sick. */
+    /** Seen on a day of zone loss: attempts that ran out of time were told as cancelled, and nothing fell sick. */
     @Test
-    void tellsAShotThatHadAllItsTimeAsTimedOut() throws IOException {
+    void tellsAnAttemptThatHadAllItsTimeAsTimedOut() throws IOException {
         Rig rig = rig(2);
         List<Socket> choked = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             rig.client().say(call("once", "c" + i));
         }
-        for (Socket s : rig.shots()) {
+        for (Socket s : rig.attempts()) {
             if (s.to.toString().equals("/127.0.1.1:80")) {
                 choked.add(s);
             } else {
@@ -603,7 +603,7 @@
             rig.client().say(call("read", "c" + i));
             rig.last().ok("x");
         }
-        List<Socket> before = rig.shots();
+        List<Socket> before = rig.attempts();
         watched(rig, "{\"index\":44,\"endpoints\":[{\"name\":5},{\"name\":\"\"},{\"name\":\"s9\",\"address\":\"host:80\",\"status\":"
                 + "\"in_service\"}," + up(1, "terminating") + "," + up(2, "in_service").replace("1.2:80", "1.7:81") + "]}");
         assertTrue(before.stream().noneMatch(s -> s.open), "one drains, one has moved");
@@ -656,9 +656,9 @@
         rig.calls.leave();
         rig.drain();
         assertFalse(idle.open);
-        rig.shots().get(0).ok("c");
+        rig.attempts().get(0).ok("c");
         assertTrue(busy.out.contains("Connection: close\r\n") && busy.out.endsWith("c") && !quiet[0], busy.out);
-        rig.shots().get(1).ok("d");
+        rig.attempts().get(1).ok("d");
         answered(200, still);
         assertTrue(quiet[0]);
     }
@@ -687,7 +687,7 @@
         rig.calls.end(Long.MAX_VALUE, false);
         byte[] read = call("read", "c").getBytes(StandardCharsets.US_ASCII);
         rig.execute(() -> {
-            rig.execute(() -> client.link.received(read, rig.now)); // read by now, and waiting its turn
+            rig.execute(() -> client.handler.received(read, rig.now)); // read by now, and waiting its turn
             rig.calls.leave();
         });
         rig.drain();
@@ -718,7 +718,7 @@
             Socket client = rig.client();
             client.say(row[1]);
             answered(Integer.parseInt(row[0]), client);
-            assertEquals(0, rig.shots().size(), row[1]);
+            assertEquals(0, rig.attempts().size(), row[1]);
         }
     }
 
@@ -737,10 +737,10 @@
         client.taken();
         rig.last().ok("2");
         assertTrue(client.out.contains("\r\n\r\n2"), client.out);
-        int begun = rig.shots().size();
+        int begun = rig.attempts().size();
         client.end();
         rig.pass(3_000);
-        assertEquals(begun, rig.shots().size(), "nothing is begun for a client that has gone");
+        assertEquals(begun, rig.attempts().size(), "nothing is begun for a client that has gone");
     }
 
     /** What was thrown away is not answered; the connection ends in order behind what was kept. */
@@ -801,7 +801,7 @@
         a.say(call("read", "c"));
         b.say(call("read", "c"));
         answered(409, b);
-        assertEquals(1, rig.shots().size());
+        assertEquals(1, rig.attempts().size());
         rig.last().ok("a");
         assertTrue(a.out.endsWith("a"), a.out);
         rig.pass(20);
@@ -823,7 +823,7 @@
         more.say(call("read", "d"));
         more.say("no request");
         answered(400, more);
-        assertFalse(rig.last().open, "its shot is given up");
+        assertFalse(rig.last().open, "its attempt is given up");
     }
 
     /** Danger: seen on days of bad upstreams; what was made for one call must not be another's answer. */
@@ -957,25 +957,25 @@
             answered(200, client);
             rig.pass(50);
         }
-        assertEquals(1, rig.shots().size());
+        assertEquals(1, rig.attempts().size());
         Socket other = rig.client();
         client.say(call("read", "b"));
         other.say(call("read", "c"));
-        rig.shots().get(1).ok("c");
+        rig.attempts().get(1).ok("c");
         rig.pass(50);
-        rig.shots().get(0).end();
+        rig.attempts().get(0).end();
         rig.drain();
         client.taken();
         other.taken();
-        int before = rig.shots().size();
+        int before = rig.attempts().size();
         other.say(call("once", "d"));
-        assertEquals(before + 1, rig.shots().size(), "a new connection");
-        assertEquals(1, rig.shots().stream().filter(x -> x.open).count(), "in the place of a kept one");
+        assertEquals(before + 1, rig.attempts().size(), "a new connection");
+        assertEquals(1, rig.attempts().stream().filter(x -> x.open).count(), "in the place of a kept one");
         rig.last().ok("d");
         answered(200, other);
         rig.pass(11_000);
         other.say(call("once", "e"));
-        assertEquals(before + 1, rig.shots().size(), "kept ones again");
+        assertEquals(before + 1, rig.attempts().size(), "kept ones again");
     }
 
     private static String large(String id, int length, int first) {
@@ -992,10 +992,10 @@
         assertFalse(client.held, "its end is seen, until as much waits as may");
         client.say("x".repeat(70_000));
         assertTrue(client.held, "nothing more is read until somebody takes it");
-        rig.shots().get(0).end();
+        rig.attempts().get(0).end();
         rig.drain();
         Socket to = rig.last();
-        assertEquals(2, rig.shots().size(), "what came is kept for the next one");
+        assertEquals(2, rig.attempts().size(), "what came is kept for the next one");
         to.up();
         assertFalse(client.held);
         assertTrue(to.out.contains("X-Time-Left: 2000000u\r\nContent-Length: 330000\r\n\r\nxxx"), to.out.substring(0, 150));
@@ -1009,7 +1009,7 @@
         int before = to.out.length();
         to.waits = 0;
         to.stuck = false;
-        rig.execute(to.link::sent);
+        rig.execute(to.handler::sent);
         rig.drain();
         assertFalse(client.held);
         assertEquals(before + 70_000, to.out.length());
@@ -1025,10 +1025,10 @@
         rig.answersDials = true;
         client.say(large("c2", 200_000, 80_000) + "x".repeat(10_000));
         client.say("x".repeat(10_000));
-        int dials = rig.shots().size();
+        int dials = rig.attempts().size();
         rig.last().end();
         rig.drain();
-        assertEquals(dials, rig.shots().size());
+        assertEquals(dials, rig.attempts().size());
         answered(429, client); // not whole, so it has not run; not kept, so it can't go elsewhere
         client.say("x".repeat(100_000));
         rig.pass(500);
@@ -1055,7 +1055,7 @@
         assertTrue(from.held);
         rig.pass(3_000);
         client.waits = 0;
-        rig.execute(client.link::sent);
+        rig.execute(client.handler::sent);
         rig.drain();
         assertFalse(from.held);
         rig.pass(2_000); // slow, past the deadline
@@ -1064,7 +1064,7 @@
         answered(200, client);
         rig.pass(20);
         client.say(call("read", "c2"));
-        assertEquals(1, rig.shots().size(), "both connections go on");
+        assertEquals(1, rig.attempts().size(), "both connections go on");
         from.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + "z".repeat(70_000) + "\r\n");
         assertTrue(client.out.contains("Transfer-Encoding: chunked\r\n") && client.out.endsWith("zz\r\n"), client.out.substring(0, 99));
         from.end();
@@ -1074,8 +1074,8 @@
         client = rig.client();
         client.say(call("read", "c3"));
         rig.last().say("HTTP/1.1 200 OK\r\n\r\n" + "z".repeat(70_000));
-        Link link = rig.last().link;
-        rig.execute(link::ended);
+        ConnectionHandler handler = rig.last().handler;
+        rig.execute(handler::ended);
         rig.last().end();
         rig.drain();
         assertTrue(client.out.endsWith("zz\r\n0\r\n\r\n"), "some answers end with their connection");
@@ -1092,9 +1092,9 @@
             answered(200, client);
             rig.pass(20);
         }
-        rig.calls.byHand("s1", Handover.OUT);
+        rig.calls.maintenance("s1", Handover.OUT);
         rig.drain();
-        Socket s1 = rig.shots().stream().filter(s -> s.to.getHostString().equals("127.0.1.1")).findFirst().orElseThrow();
+        Socket s1 = rig.attempts().stream().filter(s -> s.to.getHostString().equals("127.0.1.1")).findFirst().orElseThrow();
         assertFalse(s1.open);
         client.say(call("read", "c2"));
         rig.last().ok("body");
--- a/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
@@ -307,7 +307,7 @@
                     case "lacking" -> rig.told("{\"index\":42,\"endpoints\":[" + left + "]}", Upstreams.Form.FULL);
                     case "restarted" -> rig.told("{\"index\":42,\"endpoints\":[" + rig.entry(first, "in_service").replace("}",
                             ",\"since_ms\":1700000000000}") + "]}", Upstreams.Form.CHANGES);
-                    case "by hand" -> rig.calls.byHand("s" + first, gorsestack.operate.Handover.OUT);
+                    case "by hand" -> rig.calls.maintenance("s" + first, gorsestack.operate.Handover.OUT);
                     default -> rig.told("{\"index\":42,\"endpoints\":[" + rig.entry(first, way) + "]}", Upstreams.Form.CHANGES);
                 }
                 Socket there = first == 0 && !rig.upstreams.get(0).taken.isEmpty() ? rig.upstreams.get(0).taken.get(0)
--- a/balancer/src/test/java/gorsestack/memory/SocketRig.java
+++ b/balancer/src/test/java/gorsestack/memory/SocketRig.java
@@ -8,10 +8,10 @@
 import gorsestack.wire.Catalog;
 import gorsestack.wire.Channel;
 import gorsestack.wire.ClientConnection;
-import gorsestack.wire.Link;
+import gorsestack.wire.ConnectionHandler;
 import gorsestack.wire.MinaNetwork;
 import gorsestack.wire.Network;
-import gorsestack.wire.Owner;
+import gorsestack.wire.EventLoop;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -31,7 +31,7 @@
  * A balancer on real loopback sockets whose event loop is the test's own thread: what the sockets' threads hand over waits until
  * the test runs it, so two events are crossed by running them in either order. Peers are scripted. The clock moves by the test alone.
  */
-final class SocketRig implements Owner, AutoCloseable {
+final class SocketRig implements EventLoop, AutoCloseable {
     static final long MS = 1_000_000;
     private static final long BOUND = 10_000;
 
@@ -45,16 +45,16 @@
            {"name":"mark","clientTimeout":3000,"latencySlo":1000,"semantics":"guarded","keyScope":"zone","billedValue":1,
             "repeatWindow":5000}]}""";
 
-    /** A link with what was called on it counted. */
-    static final class Spy implements Link {
-        final Link of;
+    /** A handler with what was called on it counted. */
+    static final class Spy implements ConnectionHandler {
+        final ConnectionHandler of;
         Channel channel;
         int received;
         int sent;
         int ended;
         int closed;
 
-        Spy(Link of) {
+        Spy(ConnectionHandler of) {
             this.of = of;
         }
 
@@ -161,13 +161,13 @@
         sockets = new MinaNetwork(limits, this);
         network = new Network() {
             @Override
-            public void listen(InetSocketAddress at, Supplier<Link> links) throws IOException {
-                sockets.listen(at, links);
+            public void listen(InetSocketAddress at, Supplier<ConnectionHandler> handlers) throws IOException {
+                sockets.listen(at, handlers);
             }
 
             @Override
-            public void listenApart(InetSocketAddress at, int most, Supplier<Link> links) throws IOException {
-                sockets.listenApart(at, most, links);
+            public void listenApart(InetSocketAddress at, int most, Supplier<ConnectionHandler> handlers) throws IOException {
+                sockets.listenApart(at, most, handlers);
             }
 
             @Override
@@ -186,8 +186,8 @@
             }
 
             @Override
-            public void connect(InetSocketAddress to, Link link) {
-                Spy spy = new Spy(link);
+            public void connect(InetSocketAddress to, ConnectionHandler handler) {
+                Spy spy = new Spy(handler);
                 (to.equals(discovery.listener.getLocalSocketAddress()) ? watches : dialled).add(spy);
                 sockets.connect(to, spy);
             }
--- a/balancer/src/test/java/gorsestack/operate/ManagementTest.java
+++ b/balancer/src/test/java/gorsestack/operate/ManagementTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import gorsestack.memory.OwnerThread;
+import gorsestack.memory.EventLoopThread;
 import gorsestack.settings.Limits;
 import gorsestack.wire.MinaNetwork;
 import java.io.IOException;
@@ -27,16 +27,16 @@
 class ManagementTest {
     @TempDir
     private Path folder;
-    private final OwnerThread owner = new OwnerThread();
+    private final EventLoopThread eventLoop = new EventLoopThread();
     private final Map<String, Long> told = new ConcurrentSkipListMap<>();
     private volatile boolean away;
     private volatile String passedOn;
     private InetSocketAddress address;
 
     private Handover handover(Management to) {
-        return new Handover(folder, "n1", false, owner, new Handover.Listener() {
+        return new Handover(folder, "n1", false, eventLoop, new Handover.Listener() {
             @Override
-            public void byHand(String upstream, long back) {
+            public void maintenance(String upstream, long back) {
                 to.told(upstream, back);
             }
 
@@ -57,7 +57,7 @@
 
     private void start() throws IOException {
         Limits limits = Limits.of(new ObjectMapper().readTree("{\"sockets\":1024}"), new ObjectMapper().readTree("{}"));
-        Management management = new Management(limits, owner, new Management.Balancer() {
+        Management management = new Management(limits, eventLoop, new Management.Balancer() {
             @Override
             public boolean ready() {
                 return !away;
@@ -69,7 +69,7 @@
             }
 
             @Override
-            public void byHand(String upstream, long back) {
+            public void maintenance(String upstream, long back) {
                 told.put(upstream, back);
             }
 
@@ -82,7 +82,7 @@
         try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             address = new InetSocketAddress(any.getInetAddress(), any.getLocalPort());
         }
-        new MinaNetwork(limits, owner).listenApart(address, limits.operators() + 4, management::caller);
+        new MinaNetwork(limits, eventLoop).listenApart(address, limits.operators() + 4, management::caller);
     }
 
     /** What a caller is answered, as its status. */
@@ -151,7 +151,7 @@
     /** A process that takes over begins with what the one before has learnt, and not with rows of long ago. */
     @Test
     void passesOnWhatWasLearnt() throws Exception {
-        Management to = new Management(null, owner, null);
+        Management to = new Management(null, eventLoop, null);
         Handover old = handover(to);
         old.start();
         Handover young = handover(to);
--- a/balancer/src/test/java/gorsestack/recovery/NeighboursTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/NeighboursTest.java
@@ -350,20 +350,20 @@
         assertArrayEquals(NEWS, fresh.neighbours.outgoing(fleet.now, 1, NEWS));
     }
 
-    /** Bytes of any kind, and each true letter cut at any place or changed in any byte. */
+    /** Bytes of any kind, and each true peerMessage cut at any place or changed in any byte. */
     @Test
     void nonsenseIsDroppedAndCounted() {
         Fleet fleet = grown(6, 11);
         Node node = fleet.nodes[0];
         SplittableRandom random = new SplittableRandom(12);
-        List<byte[]> letters = new ArrayList<>(List.of(Letter.hello(9, 9), Letter.ask(9, 9), Letter.news(9, 9, NEWS),
-                Letter.tell(9, 9, new Letter.Tell(3, 4, List.of(new Letter.Row(5, new double[] {1, 2, 3, 4}))))));
-        letters.addAll(Letter.bans(Letter.Kind.KEEP, 9, 9, Map.of("s1", new State.Ban(State.OUT, BEGIN), "s2", new State.Ban(BEGIN, BEGIN)), BEGIN));
-        for (byte[] letter : letters) {
-            for (int i = 0; i < letter.length; i++) {
-                node.neighbours.heard(fleet.now, 1, Arrays.copyOf(letter, i));
+        List<byte[]> peerMessages = new ArrayList<>(List.of(PeerMessage.hello(9, 9), PeerMessage.ask(9, 9), PeerMessage.news(9, 9, NEWS),
+                PeerMessage.tell(9, 9, new PeerMessage.Tell(3, 4, List.of(new PeerMessage.Row(5, new double[] {1, 2, 3, 4}))))));
+        peerMessages.addAll(PeerMessage.bans(PeerMessage.Kind.KEEP, 9, 9, Map.of("s1", new State.Ban(State.OUT, BEGIN), "s2", new State.Ban(BEGIN, BEGIN)), BEGIN));
+        for (byte[] peerMessage : peerMessages) {
+            for (int i = 0; i < peerMessage.length; i++) {
+                node.neighbours.heard(fleet.now, 1, Arrays.copyOf(peerMessage, i));
                 for (int bit = 0; bit < 8; bit++) {
-                    byte[] changed = letter.clone();
+                    byte[] changed = peerMessage.clone();
                     changed[i] ^= (byte) (1 << bit);
                     node.neighbours.heard(fleet.now, 1 + bit % 5, changed);
                 }
@@ -381,7 +381,7 @@
         assertTrue(node.neighbours.dropped()[1] > 10_000);
         assertTrue(node.neighbours.wards().values().stream().allMatch(bans -> bans.size() <= 256));
         assertTrue(node.neighbours.incarnation() < 1L << 47);
-        assertNull(Letter.read(new byte[0]));
-        assertNull(Letter.read(new byte[257]));
+        assertNull(PeerMessage.read(new byte[0]));
+        assertNull(PeerMessage.read(new byte[257]));
     }
 }
