--- a/balancer/src/test/java/gorsestack/serve/MixedShapesTest.java
+++ b/balancer/src/test/java/gorsestack/serve/MixedShapesTest.java
@@ -9,7 +9,7 @@
 import gorsestack.decision.Upstreams;
 import gorsestack.memory.Calls;
 import gorsestack.memory.Mail;
-import gorsestack.memory.OwnerThread;
+import gorsestack.memory.EventLoopThread;
 import gorsestack.settings.SettingsReader;
 import gorsestack.wire.Catalog;
 import gorsestack.wire.ClientConnection;
@@ -74,7 +74,7 @@
     }
 
     private static final class Balancer {
-        final OwnerThread owner = new OwnerThread();
+        final EventLoopThread eventLoop = new EventLoopThread();
         final InetSocketAddress address;
         final Calls calls;
         final AtomicInteger told = new AtomicInteger();
@@ -90,18 +90,18 @@
                    {"name":"once","clientTimeout":2000,"latencySlo":1000,"semantics":"single_shot"}]}"""
                     .formatted(me, isNew ? 40 : EACH, isNew ? "answers" : "none", isNew));
             Limits limits = Limits.of(JSON.readTree("{\"sockets\":1024}"), settings);
-            MinaNetwork network = new MinaNetwork(limits, owner);
+            MinaNetwork network = new MinaNetwork(limits, eventLoop);
             try (ServerSocket any = new ServerSocket(0, 1, LOOPBACK)) {
                 address = new InetSocketAddress(LOOPBACK, any.getLocalPort());
             }
-            calls = new Calls(owner, limits, SettingsReader.read(settings), me + 1, network,
+            calls = new Calls(eventLoop, limits, SettingsReader.read(settings), me + 1, network,
                     new InetSocketAddress(LOOPBACK, 1), 0);
             if (isNew) {
-                peers = new Peers(addresses, me, owner, (peer, message) -> {
+                peers = new Peers(addresses, me, eventLoop, (peer, message) -> {
                     told.incrementAndGet();
                     calls.heard(peer, message);
                 });
-                owner.execute(() -> calls.mail(new Mail() {
+                eventLoop.execute(() -> calls.mail(new Mail() {
                     @Override
                     public void tell(int peer, byte[] message) {
                         peers.tell(peer, message);
@@ -113,8 +113,8 @@
                     }
                 }));
             }
-            network.listen(address, () -> new ClientConnection(limits, owner, calls));
-            owner.execute(calls::open);
+            network.listen(address, () -> new ClientConnection(limits, eventLoop, calls));
+            eventLoop.execute(calls::open);
         }
 
         void news(List<StandIn> upstreams, Upstreams.State first) {
@@ -125,7 +125,7 @@
                 entries.add(new Upstreams.Entry(id, entries.isEmpty() ? first : Upstreams.State.READY, 0, 0, 1, "", "a"));
                 addresses.put(id, u.server.getAddress());
             }
-            owner.execute(() -> calls.news(new Catalog(1, new Upstreams(Upstreams.Form.FULL, entries), addresses)));
+            eventLoop.execute(() -> calls.news(new Catalog(1, new Upstreams(Upstreams.Form.FULL, entries), addresses)));
         }
     }
 
--- a/balancer/src/test/java/gorsestack/serve/ServiceTest.java
+++ b/balancer/src/test/java/gorsestack/serve/ServiceTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gorsestack.memory.OwnerThread;
+import gorsestack.memory.EventLoopThread;
 import gorsestack.wire.Channel;
-import gorsestack.wire.Link;
+import gorsestack.wire.ConnectionHandler;
 import gorsestack.wire.MinaNetwork;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -123,11 +123,11 @@
         }
     }
 
-    /** What a link relies on, on real sockets: order, the last byte's word, and the end being told. */
+    /** What a handler relies on, on real sockets: order, the last byte's word, and the end being told. */
     @Test
     void tellsALinkWhatItsSocketDoes() throws Exception {
         BlockingQueue<Object> told = new LinkedBlockingQueue<>();
-        final class Told implements Link {
+        final class Told implements ConnectionHandler {
             @Override
             public void opened(Channel channel) {
                 told.add(channel);
@@ -148,7 +148,7 @@
                 told.add("closed");
             }
         }
-        MinaNetwork network = new MinaNetwork(read("", "").limits(), new OwnerThread());
+        MinaNetwork network = new MinaNetwork(read("", "").limits(), new EventLoopThread());
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
         InetSocketAddress address;
         try (ServerSocket server = new ServerSocket(0, 5, loopback)) {
@@ -176,20 +176,20 @@
         }
     }
 
-    /** Danger: a sender at full speed fills the memory ahead of a busy owner; too many connections use up the descriptors. */
+    /** Danger: a sender at full speed fills the memory ahead of a busy event loop; too many connections use up the descriptors. */
     @Test
     void readsAndAcceptsNoMoreThanThereIsRoomFor() throws Exception {
         BlockingQueue<Channel> opened = new LinkedBlockingQueue<>();
         AtomicLong read = new AtomicLong();
-        OwnerThread owner = new OwnerThread();
+        EventLoopThread eventLoop = new EventLoopThread();
         Limits limits = read("\"sockets\": 1024", "\"sockets\": 96").limits();
         int most = limits.mostAccepted();
-        MinaNetwork network = new MinaNetwork(limits, owner);
+        MinaNetwork network = new MinaNetwork(limits, eventLoop);
         InetSocketAddress address;
         try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             address = new InetSocketAddress(any.getInetAddress(), any.getLocalPort());
         }
-        network.listen(address, () -> new Link() {
+        network.listen(address, () -> new ConnectionHandler() {
             @Override
             public void opened(Channel channel) {
                 opened.add(channel);
@@ -216,7 +216,7 @@
         }
         assertEquals(null, opened.poll(200, TimeUnit.MILLISECONDS), "the others wait in the backlog");
         CountDownLatch go = new CountDownLatch(1);
-        owner.execute(() -> {
+        eventLoop.execute(() -> {
             try {
                 go.await();
             } catch (InterruptedException e) {
@@ -235,10 +235,10 @@
         });
         sender.start();
         sender.join(3_000);
-        assertFalse(written.get(), "the owner has read nothing yet");
+        assertFalse(written.get(), "the event loop has read nothing yet");
         go.countDown();
         sender.join(20_000);
-        assertTrue(written.get(), "it goes on once the owner does");
+        assertTrue(written.get(), "it goes on once the event loop does");
         first.close();
         assertTrue(opened.poll(10, TimeUnit.SECONDS) != null, "one more for the one that has gone");
         for (Socket client : clients) {
--- a/balancer/src/test/java/gorsestack/wire/StatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/StatesTest.java
@@ -43,7 +43,7 @@
     private record Due(long at, long order, Runnable task) { }
 
     /** An event loop whose clock the sequence moves. */
-    private static final class Loop implements Owner {
+    private static final class Loop implements EventLoop {
         long now = 1_000_000 * MS;
         private long order;
         private final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
@@ -85,7 +85,7 @@
     /** A socket as the event loop sees it: bytes that were read wait in the loop's queue. */
     private static final class Socket implements Channel {
         final Loop loop;
-        final Link link;
+        final ConnectionHandler handler;
         final InetSocketAddress to;
         final StringBuilder out = new StringBuilder();
         boolean open = true;
@@ -98,9 +98,9 @@
         int writesAfterEnd;
         boolean held;
 
-        Socket(Loop loop, Link link, InetSocketAddress to) {
+        Socket(Loop loop, ConnectionHandler handler, InetSocketAddress to) {
             this.loop = loop;
-            this.link = link;
+            this.handler = handler;
             this.to = to;
         }
 
@@ -110,7 +110,7 @@
                 reads++;
                 loop.execute(() -> {
                     given++;
-                    link.received(bytes, loop.now());
+                    handler.received(bytes, loop.now());
                 });
             }
         }
@@ -121,7 +121,7 @@
                 writesAfterEnd++;
             } else if (open) {
                 out.append(new String(bytes, StandardCharsets.ISO_8859_1));
-                loop.execute(link::sent);
+                loop.execute(handler::sent);
             }
         }
 
@@ -144,7 +144,7 @@
         void gone() {
             if (open) {
                 open = false;
-                loop.execute(link::closed);
+                loop.execute(handler::closed);
             }
         }
 
@@ -157,7 +157,7 @@
         @Override
         public void finish() {
             shut = true;
-            loop.execute(link::closed);
+            loop.execute(handler::closed);
         }
 
         @Override
@@ -267,9 +267,9 @@
     private static String client(int[] sequence, boolean planted) {
         Loop loop = new Loop();
         Intake intake = new Intake();
-        ClientConnection link = new ClientConnection(LIMITS, loop, intake);
-        Socket socket = new Socket(loop, link, null);
-        link.opened(socket);
+        ClientConnection handler = new ClientConnection(LIMITS, loop, intake);
+        Socket socket = new Socket(loop, handler, null);
+        handler.opened(socket);
         int answered = 0;
         int whole = 0;
         boolean half = false;
@@ -293,14 +293,14 @@
                     if (intake.open != null) {
                         intake.open = null;
                         answered++;
-                        link.answer(Answer.own(200, "", "x"));
+                        handler.answer(Answer.own(200, "", "x"));
                     }
                 }
                 case 4 -> {
                     if (planted) {
-                        link.drop();
+                        handler.drop();
                     } else {
-                        link.closeIfIdle();
+                        handler.closeIfIdle();
                     }
                 }
                 case 5 -> intake.closing = true;
@@ -316,7 +316,7 @@
         for (int i = 0; i < sequence.length && intake.open != null; i++) {
             intake.open = null;
             answered++;
-            link.answer(Answer.own(200, "", "x"));
+            handler.answer(Answer.own(200, "", "x"));
             loop.pass(0);
         }
         loop.pass(10_000);
@@ -404,10 +404,10 @@
         }
 
         @Override
-        public void listen(InetSocketAddress address, Supplier<Link> links) { }
+        public void listen(InetSocketAddress address, Supplier<ConnectionHandler> handlers) { }
 
         @Override
-        public void listenApart(InetSocketAddress address, int most, Supplier<Link> links) { }
+        public void listenApart(InetSocketAddress address, int most, Supplier<ConnectionHandler> handlers) { }
 
         @Override
         public void bound(int most) { }
@@ -421,8 +421,8 @@
         }
 
         @Override
-        public void connect(InetSocketAddress address, Link link) {
-            dialled.add(new Socket(loop, link, address));
+        public void connect(InetSocketAddress address, ConnectionHandler handler) {
+            dialled.add(new Socket(loop, handler, address));
         }
 
         Socket last() {
@@ -435,9 +435,9 @@
         Loop loop = new Loop();
         Dialler network = new Dialler(loop);
         Keeper keeper = new Keeper();
-        UpstreamConnection link = new UpstreamConnection(LIMITS, loop, keeper, "u", new InetSocketAddress(1));
-        link.connect(network);
-        link.send("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII), null, keeper);
+        UpstreamConnection handler = new UpstreamConnection(LIMITS, loop, keeper, "u", new InetSocketAddress(1));
+        handler.connect(network);
+        handler.send("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII), null, keeper);
         Socket socket = network.last();
         boolean lengthless = false;
         boolean complete = false;
@@ -449,7 +449,7 @@
                     if (!socket.up) {
                         socket.up = true;
                         boolean dead = notWanted && !planted;
-                        loop.execute(() -> link.opened(socket));
+                        loop.execute(() -> handler.opened(socket));
                         loop.pass(0);
                         if (dead && socket.out.length() > 0) {
                             return "sent though it was not wanted any more";
@@ -473,7 +473,7 @@
                 case 4 -> {
                     if (socket.up && socket.open) {
                         complete |= lengthless;
-                        loop.execute(link::ended);
+                        loop.execute(handler::ended);
                         socket.gone();
                     }
                 }
@@ -482,10 +482,10 @@
                         socket.gone();
                     }
                 }
-                case 6 -> link.tooSlow();
+                case 6 -> handler.tooSlow();
                 case 7 -> {
                     if (keeper.ended.isEmpty()) {
-                        link.giveUp();
+                        handler.giveUp();
                         keeper.ended.add(Outcome.CANCELLED);
                         notWanted = true;
                     }
@@ -493,7 +493,7 @@
                 case 8 -> {
                     keeper.takes = false;
                     notWanted = true;
-                    link.refuse();
+                    handler.refuse();
                 }
                 default -> {
                     keeper.wanted = planted;
@@ -560,13 +560,13 @@
                 case 0 -> {
                     if (!last.up) {
                         last.up = true;
-                        last.link.opened(last);
+                        last.handler.opened(last);
                     }
                 }
                 case 1 -> {
                     if (last.up && last.open) {
                         String line = "{\"index\":" + index++ + ",\"snapshot\":true,\n \"endpoints\":[]}\n";
-                        last.link.received(((last.given++ == 0 ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" : "")
+                        last.handler.received(((last.given++ == 0 ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" : "")
                                 + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n").getBytes(StandardCharsets.US_ASCII), loop.now);
                         if (!last.to.equals(discovery.address())) {
                             return "it told something and is not followed";
@@ -575,7 +575,7 @@
                 }
                 case 2 -> {
                     if (last.up && last.open && last.given++ == 0) {
-                        last.link.received("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII), loop.now);
+                        last.handler.received("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII), loop.now);
                     }
                 }
                 case 3 -> {
@@ -601,10 +601,10 @@
             for (Socket s : List.copyOf(network.dialled)) {
                 if (!s.up && network.dialled.indexOf(s) > network.dialled.indexOf(known)) {
                     s.up = true;
-                    s.link.opened(s);
+                    s.handler.opened(s);
                     String line = "{\"index\":99,\"snapshot\":true,\"endpoints\":[]}\n";
                     if (s.open) {
-                        s.link.received(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length()) + "\r\n"
+                        s.handler.received(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length()) + "\r\n"
                                 + line + "\r\n").getBytes(StandardCharsets.US_ASCII), loop.now);
                     }
                 }
