--- a/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
@@ -446,4 +446,126 @@
             rig.until(() -> rig.dialled.size() == 3);
         }
     }
+
+    // The list.
+
+    /** Rule 3: the watch is reset right before a drain is made known; the next one tells it, and nothing new goes there. */
+    @Test
+    void hearsOfADrainMadeKnownRightAfterItsWatchWasReset() throws Exception {
+        try (SocketRig rig = new SocketRig(2)) {
+            Socket watch = rig.watch();
+            tell(rig, watch, "{\"index\":50,\"snapshot\":true,\"endpoints\":[" + rig.entry(0, "in_service") + "," + rig.entry(1, "in_service") + "]}");
+            int before = rig.watches.size();
+            reset(watch);
+            rig.until(() -> rig.watches.get(before - 1).closed > 0);
+            long since = rig.now();
+            rig.passUntil(() -> rig.watches.size() > before);
+            assertTrue(rig.now() - since <= rig.limits.watchSpread(), "asked again within half a second");
+            rig.until(() -> rig.watches.get(before).sent > 0);
+            Socket next = rig.discovery.accept();
+            assertTrue(message(next).startsWith("GET /catalog/members?watch=1&after=50 "));
+            say(next, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            tell(rig, next, "{\n  \"index\": 51,\n  \"snapshot\": false,\n  \"endpoints\": [\n    " + rig.entry(0, "terminating") + "\n  ]\n}");
+            for (int i = 0; i < 5; i++) {
+                Socket client = rig.client();
+                SocketRig.Spy spy = rig.client(rig.clients.size() - 1);
+                int dialled = rig.dialled.size();
+                say(client, call("once", "c" + i));
+                rig.until(() -> rig.dialled.size() > dialled && rig.dialled.get(dialled).sent > 0);
+                Socket upstream = rig.upstreams.get(1).accept();
+                message(upstream);
+                say(upstream, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx");
+                rig.until(() -> spy.sent == 1);
+            }
+            assertNull(rig.upstreams.get(0).acceptWithin(20), "nothing new to one that drains");
+        }
+    }
+
+    /** A list that lacks an upstream: what is out there goes on to its answer, and its connection is not used again. */
+    @Test
+    void letsAnAttemptFinishAtAnUpstreamThatTheListNoLongerNames() throws Exception {
+        try (SocketRig rig = new SocketRig(1)) {
+            Socket client = rig.client();
+            say(client, call("once", "c"));
+            rig.until(() -> rig.client(0).received == 1);
+            Socket upstream = attempt(rig, 0);
+            rig.told("{\"index\":60,\"endpoints\":[]}", Upstreams.Form.FULL);
+            say(upstream, ok("done"));
+            rig.until(() -> rig.client(0).sent == 1);
+            assertTrue(message(client).endsWith("done"));
+            rig.until(() -> rig.dialled.get(0).closed > 0);
+            assertEquals("", rest(upstream));
+        }
+    }
+
+    /** Idle clients take all places that clients may have, and discovery is down; its return is heard of within the bound all the same. */
+    @Test
+    void hearsOfDiscoverysReturnWithAllPlacesTaken() throws Exception {
+        try (SocketRig rig = new SocketRig(1)) {
+            java.net.InetSocketAddress at = (java.net.InetSocketAddress) rig.discovery.listener.getLocalSocketAddress();
+            rig.discovery.listener.close();
+            java.util.List<Socket> idle = new java.util.ArrayList<>();
+            for (int i = 0; i < rig.limits.mostAccepted(); i++) {
+                idle.add(new Socket(rig.address.getAddress(), rig.address.getPort()));
+            }
+            rig.until(() -> rig.sockets.accepted() == rig.limits.mostAccepted());
+            for (int i = 0; i < 3; i++) {
+                int n = i;
+                rig.passUntil(() -> rig.watches.size() > n);
+                rig.until(() -> rig.watches.get(n).closed > 0);
+            }
+            try (java.net.ServerSocket back = new java.net.ServerSocket()) {
+                back.setReuseAddress(true);
+                back.bind(at);
+                back.setSoTimeout(10_000);
+                int refused = rig.watches.size();
+                long since = rig.now();
+                rig.passUntil(() -> rig.watches.size() > refused);
+                assertTrue(rig.now() - since <= rig.limits.listRetry(), "asked again within its bound");
+                rig.until(() -> rig.watches.get(refused).sent > 0);
+                Socket taken = back.accept();
+                assertTrue(message(taken).startsWith("GET /catalog/members?watch=1"));
+                taken.close();
+            }
+            for (Socket each : idle) {
+                each.close();
+            }
+        }
+    }
+
+    private static void tell(SocketRig rig, Socket watch, String list) throws Exception {
+        int heard = rig.watches.get(rig.watches.size() - 1).received;
+        say(watch, Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n");
+        rig.until(() -> rig.watches.get(rig.watches.size() - 1).received > heard);
+        rig.drain();
+    }
+
+    // One customer, another's settings.
+
+    /** Two balancers with different settings in one JVM: neither sees a class, a limit or a time of the other's. */
+    @Test
+    void keepsTheSettingsOfTwoBalancersApart() throws Exception {
+        String other = SocketRig.SETTINGS.replace("\"read\"", "\"lesen\"").replace("\"connectTimeout\":120", "\"connectTimeout\":300")
+                .replace("\"latencySlo\":1000", "\"latencySlo\":2600").replace("\"clientTimeout\":3000", "\"clientTimeout\":9000");
+        try (SocketRig one = new SocketRig(1); SocketRig two = new SocketRig(1, other)) {
+            assertEquals("120 300", one.limits.connectTimeout() / SocketRig.MS + " " + two.limits.connectTimeout() / SocketRig.MS);
+            assertEquals("500 1300", one.limits.silence() / SocketRig.MS + " " + two.limits.silence() / SocketRig.MS);
+            int n = 0;
+            for (SocketRig rig : new SocketRig[] {one, two, one}) {
+                n++;
+                String own = rig == one ? "read" : "lesen";
+                String foreign = rig == one ? "lesen" : "read";
+                Socket client = rig.client();
+                SocketRig.Spy spy = rig.client(rig.clients.size() - 1);
+                say(client, "GET /" + foreign + " HTTP/1.1\r\nX-Correlation-Id: f\r\n\r\n");
+                rig.until(() -> spy.sent == 1);
+                assertTrue(message(client).startsWith("HTTP/1.1 404 "));
+                int dialled = rig.dialled.size();
+                say(client, "GET /" + own + " HTTP/1.1\r\nX-Correlation-Id: o" + n + "\r\nX-Time-Left: 5000m\r\n\r\n");
+                rig.until(() -> rig.dialled.size() > dialled && rig.dialled.get(dialled).sent > 0);
+                String sent = message(rig.upstreams.get(0).accept());
+                assertTrue(sent.contains(rig == one ? "X-Time-Left: 29" : "X-Time-Left: 49"), sent);
+            }
+        }
+    }
 }
--- a/balancer/src/test/java/gorsestack/memory/SocketRig.java
+++ b/balancer/src/test/java/gorsestack/memory/SocketRig.java
@@ -292,6 +292,16 @@
         }
     }
 
+    /** Runs to the first call for the list, and grants it. */
+    Socket watch() throws Exception {
+        passUntil(() -> !watches.isEmpty());
+        until(() -> watches.get(0).sent > 0);
+        Socket watch = discovery.accept();
+        message(watch);
+        say(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        return watch;
+    }
+
     /** Moves the clock without running anything: an event loop that was late. */
     void late(long ms) {
         now += ms * MS;
--- a/balancer/src/test/java/gorsestack/serve/ServiceTest.java
+++ b/balancer/src/test/java/gorsestack/serve/ServiceTest.java
@@ -58,6 +58,16 @@
         assertEquals(2_650_000_000L, read("\"clientTimeout\": 3000", "\"clientTimeout\": 2000").limits().endAfterTerm());
     }
 
+    /** Idle clients may take all places that clients have: what the JVM, operators and two watches hold is kept back, at every limit. */
+    @Test
+    void keepsDescriptorsBackForDiscoveryAndOperators() throws IOException {
+        for (int sockets : new int[] {96, 128, 192, 256, 608, 1024, 4096}) {
+            Limits limits = read("\"sockets\": 1024", "\"sockets\": " + sockets).limits();
+            int jvm = 30;
+            assertTrue(limits.mostAccepted() + limits.upstreamConnections() + limits.operators() + 4 + jvm + 2 <= sockets, sockets + "");
+        }
+    }
+
     /** Danger: at SIGHUP the environment still names the discovery of the start. */
     @Test
     void rereadsTheFileWithItsOwnDiscovery() throws IOException {
