--- a/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
@@ -357,6 +357,65 @@
         }
     }
 
+    /** Rule 2: a window shorter than the patience leaves no copy, and a reset long after the request no second attempt. */
+    @Test
+    void sendsNothingMoreOnceTheRepeatWindowIsOver() throws Exception {
+        String settings = SocketRig.SETTINGS.replace("\"repeatWindow\":5000", "\"repeatWindow\":500");
+        try (SocketRig rig = new SocketRig(2, settings)) {
+            teach(rig);
+            Socket client = rig.client();
+            SocketRig.Spy spy = rig.client(rig.clients.size() - 1);
+            int before = rig.dialled.size();
+            say(client, call("mark", "c"));
+            rig.until(() -> rig.dialled.size() > before && rig.dialled.get(before).sent > 0);
+            rig.pass(1_000);
+            assertEquals(before + 1, rig.dialled.size(), "a copy was begun");
+            Socket upstream = null;
+            while (upstream == null) {
+                upstream = rig.upstreams.get(0).acceptWithin(20);
+                upstream = upstream == null ? rig.upstreams.get(1).acceptWithin(20) : upstream;
+            }
+            reset(upstream);
+            rig.until(() -> spy.sent == 1);
+            rig.pass(1_500);
+            assertEquals(before + 1, rig.dialled.size(), "another attempt was begun");
+            assertTrue(message(client).startsWith("HTTP/1.1 502 "), "it may have run, and trying again would not be harmless");
+        }
+    }
+
+    /** Both copies' answers wait in the queue: the client gets one, and neither connection's bytes reach another call. */
+    @Test
+    void givesOneAnswerWhereTwoSuccessesCross() throws Exception {
+        try (SocketRig rig = new SocketRig(2)) {
+            teach(rig);
+            Socket client = rig.client();
+            SocketRig.Spy spy = rig.client(rig.clients.size() - 1);
+            int before = rig.dialled.size();
+            say(client, call("read", "c"));
+            rig.until(() -> rig.dialled.size() > before && rig.dialled.get(before).sent > 0);
+            rig.passUntil(() -> rig.dialled.size() == before + 2);
+            rig.until(() -> rig.dialled.get(before + 1).sent > 0);
+            Socket one = rig.upstreams.get(0).accept();
+            Socket two = rig.upstreams.get(1).accept();
+            message(one);
+            message(two);
+            say(one, ok("1"));
+            rig.queued();
+            Runnable first = rig.takeNext();
+            say(two, ok("2"));
+            rig.queued();
+            first.run();
+            rig.until(() -> spy.sent == 1);
+            rig.until(() -> rig.dialled.get(before).closed + rig.dialled.get(before + 1).closed > 0);
+            assertTrue(message(client).endsWith("1"));
+            rig.pass(50);
+            assertEquals(1, spy.sent);
+            say(client, "GET /none HTTP/1.1\r\nX-Correlation-Id: n\r\n\r\n");
+            rig.until(() -> spy.sent == 2);
+            assertTrue(message(client).startsWith("HTTP/1.1 404 "), "nothing came in between");
+        }
+    }
+
     /** Answers earn copies: three for a hundred. */
     private static void teach(SocketRig rig) throws Exception {
         for (int i = 0; i < 40; i++) {
