--- a/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
@@ -107,7 +107,10 @@
         }
     }
 
-    /** A close over bytes that were never read resets the connection, and the last answer with it. */
+    /**
+     * A close over bytes that were never read resets the connection, and on some systems the last answer with it. The JDK ends the stream
+     * before it closes, so here the answer itself is seen either way; what the client still writes is not.
+     */
     @Test
     void letsAClientReadItsLastAnswerWhateverItStillSends() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
@@ -121,6 +124,10 @@
             String all = rest(client);
             assertTrue(all.startsWith("HTTP/1.1 4"), all);
             assertFalse(all.endsWith("<reset>"), all);
+            for (int i = 0; i < 3; i++) {
+                say(client, "z".repeat(5_000)); // not reset: it is read and thrown away, up to its bound
+                rig.turn();
+            }
         }
     }
 
