--- a/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
+++ b/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
@@ -391,6 +391,7 @@
         @Override
         public void finishUnlessAsked() {
             int seen = handled;
+            giveUpUnlessWritten(unsent());
             whenWritten(() -> {
                 if (reads == seen) {
                     shut();
--- a/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
@@ -159,6 +159,34 @@
         }
     }
 
+    /** Danger: one that never reads its answer rests between calls; asked to go in order, it would keep its place for good. */
+    @Test
+    void closesOneThatNeverReadsItsAnswer() throws Exception {
+        try (SocketRig rig = new SocketRig(1)) {
+            Socket client = new Socket();
+            client.setReceiveBufferSize(4 << 10);
+            client.connect(rig.address);
+            rig.until(() -> rig.clients.size() == 1 && rig.client(0).channel != null);
+            for (int i = 0; rig.client(0).channel.unsent() == 0; i++) {
+                say(client, call("read", "c" + i));
+                int heard = rig.client(0).received;
+                rig.until(() -> rig.client(0).received > heard);
+                int dialled = rig.dialled.size();
+                rig.until(() -> rig.dialled.get(dialled - 1).sent > 0);
+                Socket upstream = rig.upstreams.get(0).accept();
+                message(upstream);
+                int was = rig.dialled.get(dialled - 1).received;
+                say(upstream, ok("b".repeat(60_000)).replace("OK\r\n", "OK\r\nConnection: close\r\n"));
+                rig.until(() -> rig.dialled.get(dialled - 1).closed > 0 && rig.dialled.get(dialled - 1).received > was);
+                rig.turn();
+            }
+            rig.connections.get(0).closeIfIdle();
+            rig.pass(rig.limits.restOfStream() / SocketRig.MS + 100);
+            rig.await(() -> rig.sockets.accepted() == 0);
+            client.close();
+        }
+    }
+
     // The end of the process.
 
     /** Taken from the backlog as the listener closes, and not heard of yet by the event loop: the process may not end under it. */
