--- a/balancer/src/test/java/gorsestack/serve/ProcessEndTest.java
+++ b/balancer/src/test/java/gorsestack/serve/ProcessEndTest.java
@@ -49,7 +49,9 @@
     }
 
     private Process run(Path config) throws IOException {
-        ProcessBuilder run = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
+        // Danger: a JVM keeps SIGHUP ignored where whoever started it does, as under nohup; then no reload can be asked for.
+        ProcessBuilder run = new ProcessBuilder("env", "--default-signal=HUP",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
                 "-cp", System.getProperty("java.class.path"), "gorsestack.Main", "serve");
         run.environment().put("ROUTER_CONFIG", config.toString());
         Process process = run.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
