--- a/lab/src/main/java/gorsestack/lab/Main.java
+++ b/lab/src/main/java/gorsestack/lab/Main.java
@@ -148,10 +148,10 @@
 
         private static void table(Result r, Path folder) {
             System.out.printf("%s seed %d: served %.4f, worst second %.4f, rate-limited %.4f, errored %.4f, lost %d, full after %.1f s, "
-                    + "%.3f shots a call, p99 %.0f ms, most list calls %d/s, new connections %d/s%n", r.scenario(), r.seed(),
+                    + "%.3f attempts a call, p99 %.0f ms, most list calls %d/s, new connections %d/s%n", r.scenario(), r.seed(),
                     r.figures().get("served"), r.figures().get("served_worst_second"), r.figures().get("rate_limited"),
                     r.figures().get("errored"), r.figures().get("lost").intValue(), r.figures().get("time_to_full_s"),
-                    r.figures().get("shots_per_call"), r.figures().get("p99_ms"), r.figures().get("peak_list_calls").intValue(),
+                    r.figures().get("attempts_per_call"), r.figures().get("p99_ms"), r.figures().get("peak_list_calls").intValue(),
                     r.figures().get("peak_connections").intValue());
             for (Result.Held h : r.invariants()) {
                 System.out.printf("  %-28s %-7s %10.4f  %s%s%n", h.figure(), h.over(), h.was(), h.wanted(), h.holds() ? "" : "  NOT HELD");
--- a/lab/src/main/java/gorsestack/lab/judge/Figures.java
+++ b/lab/src/main/java/gorsestack/lab/judge/Figures.java
@@ -107,7 +107,7 @@
             case "regained" -> regained();
             case "start_s" -> start();
             case "full_after_start_s" -> Math.max(0, timeToFull() - Math.max(0, lastReady() - faultAt) / 1e9);
-            case "shots_per_call" -> shots(over) / (double) Math.max(1, some.size());
+            case "attempts_per_call" -> attempts(over) / (double) Math.max(1, some.size());
             case "p99_ms" -> quantile(some, 99);
             case "peak_list_calls" -> peak(listTimes(), from(over), until(over));
             case "peak_list_calls_over_steady" -> overSteady(listTimes());
@@ -116,7 +116,7 @@
                     / Math.max(1, opened(s -> (s.second() + 1) * SECOND <= faultAt));
             case "peak_further_connections" -> peak(further(), from(over), until(over));
             case "peak_further_connections_over_steady" -> overSteady(further());
-            case "peak_shots_over_steady" -> shotsOverSteady();
+            case "peak_attempts_over_steady" -> attemptsOverSteady();
             case "datagrams_per_second" -> records.seconds.isEmpty() ? 0
                     : records.seconds.get(records.seconds.size() - 1).datagrams() / scenario.seconds();
             case "crashes" -> records.processes.stream().filter(p -> p.what().startsWith("crash")).count();
@@ -137,8 +137,8 @@
         return over.equals("before") ? faultAt : over.equals("after") ? faultAt + AFTER : end;
     }
 
-    private long shots(String over) {
-        return records.shots.stream().filter(s -> s.tier() == 0 && s.begun() >= from(over) && s.begun() < until(over)).count();
+    private long attempts(String over) {
+        return records.attempts.stream().filter(s -> s.tier() == 0 && s.begun() >= from(over) && s.begun() < until(over)).count();
     }
 
     private long[] listTimes() {
@@ -219,10 +219,10 @@
         return records.seconds.stream().filter(when).mapToInt(Second::opened).max().orElse(0);
     }
 
-    /** Of the upstream and second with most shots; steady is the most before, at any. */
-    private double shotsOverSteady() {
+    /** Of the upstream and second with most attempts; steady is the most before, at any. */
+    private double attemptsOverSteady() {
         Map<Integer, List<Long>> by = new TreeMap<>();
-        records.shots.forEach(s -> by.computeIfAbsent(s.upstream(), u -> new ArrayList<>()).add(s.begun()));
+        records.attempts.forEach(s -> by.computeIfAbsent(s.upstream(), u -> new ArrayList<>()).add(s.begun()));
         double before = 1;
         double after = 0;
         for (List<Long> all : by.values()) {
--- a/lab/src/main/java/gorsestack/lab/judge/Judge.java
+++ b/lab/src/main/java/gorsestack/lab/judge/Judge.java
@@ -3,7 +3,7 @@
 import gorsestack.lab.judge.Records.Change;
 import gorsestack.lab.judge.Records.Happened;
 import gorsestack.lab.judge.Records.Process;
-import gorsestack.lab.judge.Records.Shot;
+import gorsestack.lab.judge.Records.Attempt;
 import gorsestack.lab.judge.Records.Told;
 import gorsestack.lab.judge.Records.Try;
 import gorsestack.lab.scenario.Scenario;
@@ -31,7 +31,7 @@
     private final Map<Integer, List<long[]>> away = new HashMap<>();
     private final Map<Integer, List<long[]>> stopped = new HashMap<>();
     private final Map<Integer, List<Long>> starts = new HashMap<>();
-    private final Map<String, List<Shot>> shots = new HashMap<>();
+    private final Map<String, List<Attempt>> attempts = new HashMap<>();
     public final List<Broken> broken = new ArrayList<>();
     private int lost;
 
@@ -52,8 +52,8 @@
                 default -> { }
             }
         }
-        records.shots.forEach(s -> shots.computeIfAbsent(s.id(), id -> new ArrayList<>()).add(s));
-        shots.values().forEach(list -> list.sort(Comparator.comparingLong(Shot::begun)));
+        records.attempts.forEach(s -> attempts.computeIfAbsent(s.id(), id -> new ArrayList<>()).add(s));
+        attempts.values().forEach(list -> list.sort(Comparator.comparingLong(Attempt::begun)));
     }
 
     private static void close(List<long[]> intervals, long at) {
@@ -66,7 +66,7 @@
         records.tries.forEach(this::answered);
         records.extras.forEach(e -> broken("lost", e.at(), "n" + e.balancer() + " sent more than one answer on the connection of "
                 + e.id()));
-        shots.values().forEach(this::repeated);
+        attempts.values().forEach(this::repeated);
         drains();
         records.fell.forEach(f -> broken("cold", f.at(), "u" + f.upstream() + ", cold, was offered " + Math.round(f.offered())
                 + " ms of work where it could do " + Math.round(f.able())));
@@ -106,7 +106,7 @@
             broken("lost", t.ended(), "n" + t.balancer() + " took " + t.id() + " and " + (status ? "answered it "
                     + (t.ended() - due + SLACK) / 1_000_000 + " ms after its time" : "never answered it"));
         }
-        if (!excused && t.end().equals("closed") && shots.containsKey(t.id())) {
+        if (!excused && t.end().equals("closed") && attempts.containsKey(t.id())) {
             lost++;
             broken("lost", t.ended(), "n" + t.balancer() + " took " + t.id() + ", sent it on and closed with no answer");
         }
@@ -116,7 +116,7 @@
         }
         if (status) {
             refused(t);
-            for (Shot s : shots.getOrDefault(t.id(), List.of())) {
+            for (Attempt s : attempts.getOrDefault(t.id(), List.of())) {
                 if (s.begun() > t.ended() + SLACK && s.balancer() == t.balancer()
                         && !faulty("n" + s.balancer() + ">u" + s.upstream(), t.ended() - SETTLES, s.begun())
                         && !meets(stopped.get(s.balancer()), t.ended(), s.begun())) {
@@ -127,9 +127,9 @@
         }
     }
 
-    /** Proven not run, as whoever sent the later shot could know. */
-    private static boolean proven(Shot shot, long by) {
-        return shot.outcome().equals("unprocessed") && shot.answered() != Records.NEVER && shot.answered() <= by;
+    /** Proven not run, as whoever sent the later attempt could know. */
+    private static boolean proven(Attempt attempt, long by) {
+        return attempt.outcome().equals("unprocessed") && attempt.answered() != Records.NEVER && attempt.answered() <= by;
     }
 
     /** Rule 2: a reply that says that trying again is harmless. */
@@ -138,7 +138,7 @@
         boolean harmless = product.semantics().equals("free")
                 || product.semantics().equals("guarded") && product.keyScope().equals("all");
         if (!harmless && (t.end().equals("429") || t.end().equals("503"))) {
-            for (Shot s : shots.getOrDefault(t.id(), List.of())) {
+            for (Attempt s : attempts.getOrDefault(t.id(), List.of())) {
                 if (s.begun() <= t.ended() && !proven(s, t.ended())) {
                     broken("dup", t.ended(), "n" + t.balancer() + " called " + t.id() + " (" + t.product()
                             + ") rate-limited though u" + s.upstream() + " may have run it (" + s.outcome() + ")");
@@ -148,7 +148,7 @@
         }
     }
 
-    private String group(Shot s, Product product) {
+    private String group(Attempt s, Product product) {
         return switch (product.keyScope()) {
             case "all" -> "all";
             case "cell" -> "cell " + s.cell();
@@ -157,13 +157,13 @@
     }
 
     /** Rule 2: nothing runs twice that must not. */
-    private void repeated(List<Shot> list) {
+    private void repeated(List<Attempt> list) {
         Product product = products.get(list.get(0).product());
         if (product.semantics().equals("free")) {
             return;
         }
-        Shot possible = null;
-        for (Shot s : list) {
+        Attempt possible = null;
+        for (Attempt s : list) {
             if (possible != null && !proven(possible, s.begun())) {
                 String what = s.id() + " (" + s.product() + ") reached u" + s.upstream() + " from n" + s.balancer() + " though u"
                         + possible.upstream() + " may have run it (" + possible.outcome() + ")";
@@ -189,7 +189,7 @@
         records.changes.forEach(c -> changes.computeIfAbsent(c.upstream(), u -> new ArrayList<>()).add(c));
         Map<String, List<Told>> told = new HashMap<>();
         records.told.forEach(t -> told.computeIfAbsent(t.balancer() + ">" + t.upstream(), k -> new ArrayList<>()).add(t));
-        for (Shot s : records.shots) {
+        for (Attempt s : records.attempts) {
             List<Change> of = changes.getOrDefault(s.upstream(), List.of());
             long out = -FAR;
             long back = -FAR;
--- a/lab/src/main/java/gorsestack/lab/judge/Records.java
+++ b/lab/src/main/java/gorsestack/lab/judge/Records.java
@@ -30,8 +30,8 @@
     public record Try(String id, int call, int number, String product, String zone, int balancer, long intended, long sent, long left,
             long ended, String end, boolean first, boolean right, double retryAfter, boolean last, String party, String tenant) { }
 
-    /** One shot at an upstream; last is when its last byte came. Answered is when the answer was written, or NEVER. */
-    public record Shot(String id, String key, String product, int tier, int upstream, String zone, int cell, int balancer, long begun,
+    /** One attempt at an upstream; last is when its last byte came. Answered is when the answer was written, or NEVER. */
+    public record Attempt(String id, String key, String product, int tier, int upstream, String zone, int cell, int balancer, long begun,
             long last, String outcome, boolean ran, long answered) { }
 
     /** A line of discovery's that a balancer got. */
@@ -64,7 +64,7 @@
     public record Lab(long p50, long p99, long most) { }
 
     public final List<Try> tries = new ArrayList<>();
-    public final List<Shot> shots = new ArrayList<>();
+    public final List<Attempt> attempts = new ArrayList<>();
     public final List<Told> told = new ArrayList<>();
     public final List<Change> changes = new ArrayList<>();
     public final List<ListCall> listCalls = new ArrayList<>();
@@ -79,7 +79,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private Map<String, List<?>> all() {
-        return Map.ofEntries(Map.entry("Try", tries), Map.entry("Shot", shots), Map.entry("Told", told), Map.entry("Change", changes),
+        return Map.ofEntries(Map.entry("Try", tries), Map.entry("Attempt", attempts), Map.entry("Told", told), Map.entry("Change", changes),
                 Map.entry("ListCall", listCalls), Map.entry("Extra", extras), Map.entry("Process", processes),
                 Map.entry("Happened", faults), Map.entry("Fell", fell), Map.entry("Connect", connects), Map.entry("Second", seconds), Map.entry("Lab", lab));
     }
--- a/lab/src/main/java/gorsestack/lab/process/Fleet.java
+++ b/lab/src/main/java/gorsestack/lab/process/Fleet.java
@@ -276,7 +276,7 @@
         s.tiers().forEach(t -> settings.withArray("/tiers").add(t.name()));
         Rules r = s.rules();
         settings.putObject("limits").put("connIdle", r.idleMs()).put("connectTimeout", r.connectTimeoutMs()).put("mayCancel", r.mayCancel())
-                .put("mostShots", r.shots()).put("secondCopies", r.secondCopies()).put("retryAfter", r.retryAfter())
+                .put("mostShots", r.attempts()).put("secondCopies", r.secondCopies()).put("retryAfter", r.retryAfter())
                 .put("maxRetryAfter", 1500.0).put("peers", s.fleet().peers());
         settings.putObject("rules").put("askWithin", r.askWithin() * 1e3).put("cold", r.cold() * 1e3).put("coldShare", r.coldShare())
                 .put("drainGrace", r.drainGrace() * 1e3).put("fall", r.fall() * 1e3).put("fallMultiple", r.fallMultiple());
--- a/lab/src/main/java/gorsestack/lab/report/Report.java
+++ b/lab/src/main/java/gorsestack/lab/report/Report.java
@@ -95,7 +95,7 @@
         charts.put("Connections at upstreams, and opened", chart("connections", connections(records), records.faults, 0, 0));
         charts.put("Calls for the list", chart("a second", counts("list calls", records.listCalls.stream()
                 .map(Records.ListCall::at).toList()), records.faults, 0, 0));
-        charts.put("Shots", chart("a second", counts("shots", records.shots.stream().map(Records.Shot::begun).toList()),
+        charts.put("Attempts", chart("a second", counts("attempts", records.attempts.stream().map(Records.Attempt::begun).toList()),
                 records.faults, 0, 0));
         return charts;
     }
--- a/lab/src/main/java/gorsestack/lab/scenario/Scenario.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/Scenario.java
@@ -19,7 +19,7 @@
     public record Discovery(double callsPerSecond, double patience, double late, double notices) { }
 
     public record Rules(double drainGrace, double cold, double coldShare, double fall, double fallMultiple, double askWithin,
-            double toldWithin, int shots, boolean secondCopies, boolean mayCancel, boolean retryAfter, double connectTimeoutMs,
+            double toldWithin, int attempts, boolean secondCopies, boolean mayCancel, boolean retryAfter, double connectTimeoutMs,
             double idleMs) { }
 
     /** May it run again: free, guarded (a key that repeats are known by), single_shot. */
--- a/lab/src/main/java/gorsestack/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/ScenarioReader.java
@@ -32,8 +32,8 @@
 
     /** Figures that an invariant may name, as Figures computes them. */
     public static final List<String> FIGURES = List.of("served", "served_worst_second", "rate_limited", "errored", "lost",
-            "time_to_full_s", "shots_per_call", "peak_list_calls", "peak_list_calls_over_steady", "peak_connections",
-            "peak_connections_over_steady", "peak_shots_over_steady", "p99_ms", "served_worst_zone", "served_worst_product", "served_worst_tenant",
+            "time_to_full_s", "attempts_per_call", "peak_list_calls", "peak_list_calls_over_steady", "peak_connections",
+            "peak_connections_over_steady", "peak_attempts_over_steady", "p99_ms", "served_worst_zone", "served_worst_product", "served_worst_tenant",
             "regained", "start_s", "full_after_start_s", "peak_further_connections", "peak_further_connections_over_steady", "datagrams_per_second",
             "crashes", "killed_after_term");
 
@@ -115,7 +115,7 @@
     private static Rules rules(Section s) throws BadScenario {
         Rules rules = new Rules(s.number("drain_grace", 2, 0.01, 60), s.number("cold", 10, 0, 600), s.number("cold_share", 0.2, 0.01, 1),
                 s.number("fall", 1, 0.1, 60), s.number("fall_multiple", 2.5, 1, 100), s.number("ask_within", 10, 0.1, 600),
-                s.number("told_within", 6, 0.1, 600), s.whole("shots", 4, 1, 100), s.flag("second_copies", true),
+                s.number("told_within", 6, 0.1, 600), s.whole("attempts", 4, 1, 100), s.flag("second_copies", true),
                 s.flag("may_cancel", true), s.flag("retry_after", true), s.number("connect_timeout_ms", 120, 1, 60_000),
                 s.number("idle_ms", 30_000, 100, 600_000));
         s.nothingElse();
--- a/lab/src/main/java/gorsestack/lab/standin/Upstream.java
+++ b/lab/src/main/java/gorsestack/lab/standin/Upstream.java
@@ -2,7 +2,7 @@
 
 import gorsestack.lab.judge.Records;
 import gorsestack.lab.judge.Records.Fell;
-import gorsestack.lab.judge.Records.Shot;
+import gorsestack.lab.judge.Records.Attempt;
 import gorsestack.lab.net.Door;
 import gorsestack.lab.scenario.Scenario.Product;
 import gorsestack.lab.scenario.Scenario.Rules;
@@ -162,7 +162,7 @@
         private final int balancer;
         private final Stamp stamp;
         private Machine.Job job;
-        private Shot open;
+        private Attempt open;
 
         Connection(int balancer, Stamp stamp) {
             this.balancer = balancer;
@@ -183,35 +183,35 @@
             }
             world.reached.add(id);
             String key = request.headers().get("Idempotency-Key", "");
-            Shot shot = new Shot(id, key, name, tier, number, zone, cell, balancer, begun, last, "out", true, Records.NEVER);
+            Attempt attempt = new Attempt(id, key, name, tier, number, zone, cell, balancer, begun, last, "out", true, Records.NEVER);
             if (connections() > kind.connections() || draining && machine.held() == 0) {
-                turnAway(ctx, shot);
+                turnAway(ctx, attempt);
                 return;
             }
             if (world.random.nextDouble() < errors) {
-                record(shot, "error", true, Records.NEVER);
+                record(attempt, "error", true, Records.NEVER);
                 answer(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR, "error", false);
                 return;
             }
             if (!key.isEmpty() && keys.repeats(group(product), key, last, (long) (product.repeatWindow() * 1e9))) {
                 ChannelFuture written = answer(ctx, HttpResponseStatus.OK, id + " " + name() + " again", false);
-                written.addListener(f -> record(shot, "repeat", false, f.isSuccess() ? world.now() : Records.NEVER));
+                written.addListener(f -> record(attempt, "repeat", false, f.isSuccess() ? world.now() : Records.NEVER));
                 return;
             }
             // Drawn from the seed alone, so that a run's work does not depend on who came first.
             double work = product.workMs() * Math.exp(product.spread() * gauss(id));
             boolean calls = behind != null && kind.calls() > 0;
-            open = shot;
+            open = attempt;
             job = machine.arrive(calls ? work / 2 : work, j -> {
                 if (calls) {
-                    next(ctx, j, shot, product, kind.calls(), work / 2);
+                    next(ctx, j, attempt, product, kind.calls(), work / 2);
                 } else {
-                    finish(ctx, j, shot);
+                    finish(ctx, j, attempt);
                 }
             });
             if (job == null) {
                 open = null;
-                turnAway(ctx, shot);
+                turnAway(ctx, attempt);
             }
         }
 
@@ -227,48 +227,48 @@
             };
         }
 
-        private void turnAway(ChannelHandlerContext ctx, Shot shot) {
+        private void turnAway(ChannelHandlerContext ctx, Attempt attempt) {
             ChannelFuture written = answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "full", true);
-            written.addListener(f -> record(shot, "unprocessed", false, f.isSuccess() ? world.now() : Records.NEVER));
+            written.addListener(f -> record(attempt, "unprocessed", false, f.isSuccess() ? world.now() : Records.NEVER));
         }
 
-        private void next(ChannelHandlerContext ctx, Machine.Job j, Shot shot, Product product, int left, double work) {
+        private void next(ChannelHandlerContext ctx, Machine.Job j, Attempt attempt, Product product, int left, double work) {
             if (left == 0) {
-                machine.more(j, work, done -> finish(ctx, done, shot));
+                machine.more(j, work, done -> finish(ctx, done, attempt));
                 return;
             }
-            String id = shot.id() + "." + number + "." + calls++;
+            String id = attempt.id() + "." + number + "." + calls++;
             long until = world.now() + (long) (product.timeoutMs() * 1e6);
-            call(behind, product, id, shot.key(), "", product.timeoutMs(), until, answer -> {
+            call(behind, product, id, attempt.key(), "", product.timeoutMs(), until, answer -> {
                 if (answer.end().equals("200")) {
-                    next(ctx, j, shot, product, left - 1, work);
-                } else if (open == shot) {
+                    next(ctx, j, attempt, product, left - 1, work);
+                } else if (open == attempt) {
                     machine.done(j);
                     open = null;
-                    record(shot, "error", true, Records.NEVER);
+                    record(attempt, "error", true, Records.NEVER);
                     answer(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR, "behind", false);
                 }
             });
         }
 
-        private void finish(ChannelHandlerContext ctx, Machine.Job j, Shot shot) {
+        private void finish(ChannelHandlerContext ctx, Machine.Job j, Attempt attempt) {
             machine.done(j);
-            if (open != shot) {
+            if (open != attempt) {
                 return;
             }
             open = null;
             if (world.random.nextDouble() < lost) {
-                record(shot, "answer lost", true, Records.NEVER);
+                record(attempt, "answer lost", true, Records.NEVER);
                 return;
             }
             if (world.random.nextDouble() < spoilt) {
-                record(shot, "spoilt", true, Records.NEVER);
+                record(attempt, "spoilt", true, Records.NEVER);
                 ctx.channel().pipeline().context(HttpServerCodec.class)
                         .writeAndFlush(Unpooled.copiedBuffer("HTTP/1.1 2x0 ?\r\n\u0001\u0002: \r\n\r\n", StandardCharsets.ISO_8859_1));
                 return;
             }
-            ChannelFuture written = answer(ctx, HttpResponseStatus.OK, shot.id() + " " + name(), false);
-            written.addListener(f -> record(shot, "served", true, f.isSuccess() ? world.now() : Records.NEVER));
+            ChannelFuture written = answer(ctx, HttpResponseStatus.OK, attempt.id() + " " + name(), false);
+            written.addListener(f -> record(attempt, "served", true, f.isSuccess() ? world.now() : Records.NEVER));
         }
 
         @Override
@@ -290,8 +290,8 @@
         }
     }
 
-    private void record(Shot s, String outcome, boolean ran, long answered) {
-        world.records.shots.add(new Shot(s.id(), s.key(), s.product(), s.tier(), s.upstream(), s.zone(), s.cell(), s.balancer(), s.begun(),
+    private void record(Attempt s, String outcome, boolean ran, long answered) {
+        world.records.attempts.add(new Attempt(s.id(), s.key(), s.product(), s.tier(), s.upstream(), s.zone(), s.cell(), s.balancer(), s.begun(),
                 s.last(), outcome, ran, answered));
     }
 
--- a/lab/src/test/java/gorsestack/lab/judge/JudgeTest.java
+++ b/lab/src/test/java/gorsestack/lab/judge/JudgeTest.java
@@ -7,7 +7,7 @@
 import gorsestack.lab.judge.Records.Happened;
 import gorsestack.lab.judge.Records.Lab;
 import gorsestack.lab.judge.Records.Process;
-import gorsestack.lab.judge.Records.Shot;
+import gorsestack.lab.judge.Records.Attempt;
 import gorsestack.lab.judge.Records.Told;
 import gorsestack.lab.judge.Records.Try;
 import gorsestack.lab.report.Result;
@@ -49,9 +49,9 @@
                 true, "clients-a", ""));
     }
 
-    private void shot(String id, String product, int upstream, long at, String outcome, long answered) {
+    private void attempt(String id, String product, int upstream, long at, String outcome, long answered) {
         String zone = upstream % 2 == 0 ? "a" : "b";
-        records.shots.add(new Shot(id, "", product, 0, upstream, zone, 0, 0, at * MS, at * MS, outcome, !outcome.equals("unprocessed"),
+        records.attempts.add(new Attempt(id, "", product, 0, upstream, zone, 0, 0, at * MS, at * MS, outcome, !outcome.equals("unprocessed"),
                 answered < 0 ? Records.NEVER : answered * MS));
     }
 
@@ -62,15 +62,15 @@
     @Test
     void keepsQuietWhereAllIsWell() {
         tried("a", "read", 0, 30, "200", true);
-        shot("a", "read", 0, 1, "served", 29);
+        attempt("a", "read", 0, 1, "served", 29);
         tried("b", "read", 0, 3000, "504", false);
         tried("c", "write", 0, 30, "refused", false);
         tried("d", "write", 0, 30, "429", false);
-        shot("d", "write", 0, 1, "unprocessed", 5);
-        shot("d", "write", 1, 6, "unprocessed", 8);
+        attempt("d", "write", 0, 1, "unprocessed", 5);
+        attempt("d", "write", 1, 6, "unprocessed", 8);
         tried("e", "publish", 0, 30, "200", true);
-        shot("e", "publish", 0, 1, "cancelled", -1);
-        shot("e", "publish", 2, 6, "served", 20);
+        attempt("e", "publish", 0, 1, "cancelled", -1);
+        attempt("e", "publish", 2, 6, "served", 20);
         assertEquals("", broken());
     }
 
@@ -84,76 +84,76 @@
         assertEquals("lost lost lost", broken());
         tried("closed", "read", 0, 20, "closed", false);
         assertEquals("lost lost lost", broken(), "nothing sent on for it: failed, not lost");
-        shot("closed", "read", 0, 5, "served", 10);
+        attempt("closed", "read", 0, 5, "served", 10);
         assertEquals("lost lost lost lost", broken());
         records.extras.add(new Records.Extra(0, "a", 50 * MS));
         assertEquals(5, new Judge(scenario, records).judge().broken.size());
     }
 
     @Test
-    void seesAShotAfterTheAnswer() {
+    void seesAnAttemptAfterTheAnswer() {
         tried("a", "read", 0, 30, "200", true);
-        shot("a", "read", 0, 1, "served", 29);
-        shot("a", "read", 1, 60, "cancelled", -1);
+        attempt("a", "read", 0, 1, "served", 29);
+        attempt("a", "read", 1, 60, "cancelled", -1);
         assertEquals("", broken(), "on its way");
-        shot("a", "read", 1, 90, "cancelled", -1);
+        attempt("a", "read", 1, 90, "cancelled", -1);
         assertEquals("lost", broken());
     }
 
     @Test
     void seesDoubleEffects() {
-        shot("a", "write", 0, 1, "served", 29);
-        shot("a", "write", 1, 40, "served", 60);
+        attempt("a", "write", 0, 1, "served", 29);
+        attempt("a", "write", 1, 40, "served", 60);
         assertEquals("dup", broken());
-        shot("b", "write", 0, 1, "cancelled", -1);
-        shot("b", "write", 1, 40, "unprocessed", 41);
+        attempt("b", "write", 0, 1, "cancelled", -1);
+        attempt("b", "write", 1, 40, "unprocessed", 41);
         assertEquals("dup dup", broken(), "cancelled proves nothing");
-        shot("c", "write", 0, 1, "unprocessed", 50);
-        shot("c", "write", 1, 40, "served", 60);
+        attempt("c", "write", 0, 1, "unprocessed", 50);
+        attempt("c", "write", 1, 40, "served", 60);
         assertEquals("dup dup dup", broken(), "not heard of yet");
-        shot("d", "publish", 0, 1, "served", 29);
-        shot("d", "publish", 1, 40, "served", 60);
+        attempt("d", "publish", 0, 1, "served", 29);
+        attempt("d", "publish", 1, 40, "served", 60);
         assertEquals("dup dup dup dup", broken(), "another zone");
-        shot("e", "publish", 0, 1, "error", -1);
-        shot("e", "publish", 2, 7000, "served", 7020);
+        attempt("e", "publish", 0, 1, "error", -1);
+        attempt("e", "publish", 2, 7000, "served", 7020);
         assertEquals("dup dup dup dup dup", broken(), "past the window");
-        shot("f", "read", 0, 1, "served", 29);
-        shot("f", "read", 1, 40, "served", 60);
+        attempt("f", "read", 0, 1, "served", 29);
+        attempt("f", "read", 1, 40, "served", 60);
         assertEquals(5, new Judge(scenario, records).judge().broken.size(), "may run again");
     }
 
     @Test
     void seesARefusalOfWhatMayHaveRun() {
         tried("a", "write", 0, 30, "429", false);
-        shot("a", "write", 0, 1, "spoilt", -1);
+        attempt("a", "write", 0, 1, "spoilt", -1);
         assertEquals("dup", broken());
         tried("b", "publish", 0, 30, "503", false);
-        shot("b", "publish", 0, 1, "cancelled", -1);
+        attempt("b", "publish", 0, 1, "cancelled", -1);
         assertEquals("dup dup", broken());
         tried("c", "read", 0, 30, "429", false);
-        shot("c", "read", 0, 1, "cancelled", -1);
+        attempt("c", "read", 0, 1, "cancelled", -1);
         assertEquals("dup dup", broken());
     }
 
     @Test
-    void seesShotsPastADrain() {
+    void seesAttemptsPastADrain() {
         records.changes.add(new Change(0, "terminating", 1000 * MS));
         records.told.add(new Told(0, 0, "terminating", 1500 * MS));
-        shot("a", "read", 0, 3500, "served", 3520);
+        attempt("a", "read", 0, 3500, "served", 3520);
         assertEquals("", broken(), "within the grace");
-        shot("b", "read", 0, 3600, "served", 3620);
+        attempt("b", "read", 0, 3600, "served", 3620);
         assertEquals("drain", broken());
         records.changes.add(new Change(0, "in_service", 4000 * MS));
-        shot("c", "read", 0, 9000, "served", 9020);
+        attempt("c", "read", 0, 9000, "served", 9020);
         assertEquals("drain", broken(), "back");
     }
 
     @Test
     void countsAsToldInTheEndThoughNothingCame() {
         records.changes.add(new Change(0, "terminating", 1000 * MS));
-        shot("a", "read", 0, 9000, "served", 9020);
+        attempt("a", "read", 0, 9000, "served", 9020);
         assertEquals("", broken());
-        shot("b", "read", 0, 9100, "served", 9120);
+        attempt("b", "read", 0, 9100, "served", 9120);
         assertEquals("drain", broken());
     }
 
@@ -163,16 +163,16 @@
         records.told.add(new Told(0, 0, "terminating", 1500 * MS));
         records.processes.add(new Process(0, "stop", 1400 * MS));
         records.processes.add(new Process(0, "cont", 5000 * MS));
-        shot("a", "read", 0, 6900, "served", 6920);
+        attempt("a", "read", 0, 6900, "served", 6920);
         assertEquals("", broken());
-        shot("b", "read", 0, 7100, "served", 7120);
+        attempt("b", "read", 0, 7100, "served", 7120);
         assertEquals("drain", broken());
         tried("c", "read", 1200, 5100, "504", false);
         assertEquals("drain", broken(), "nobody could have answered");
         records.processes.add(new Process(0, "kill", 8000 * MS));
         records.processes.add(new Process(0, "start", 9000 * MS));
         tried("d", "read", 7990, 8000, "closed", false);
-        shot("d", "read", 1, 7995, "served", 7999);
+        attempt("d", "read", 1, 7995, "served", 7999);
         assertEquals("drain", broken());
         tried("e", "read", 9500, 20_000, "timeout", false);
         assertEquals("drain lost", broken());
@@ -212,7 +212,7 @@
 
     @Test
     void writesAndReadsAllKindsOfRecords() throws Exception {
-        seesShotsPastADrain();
+        seesAttemptsPastADrain();
         tried("c", "read", 1200, 5100, "504", false);
         records.processes.add(new Process(0, "kill", 8000 * MS));
         records.faults.add(new Happened(0, "drop", 1000 * MS, 2000 * MS, List.of("clients-a>n0"), true));
@@ -224,7 +224,7 @@
         records.write(folder.resolve("r.zst"));
         Records read = Records.read(folder.resolve("r.zst"));
         assertEquals(records.tries, read.tries);
-        assertEquals(records.shots, read.shots);
+        assertEquals(records.attempts, read.attempts);
         assertEquals(records.told, read.told);
         assertEquals(records.faults, read.faults);
         assertEquals(records.seconds, read.seconds);
