--- a/balancer/src/main/java/gorsestack/memory/Calls.java
+++ b/balancer/src/main/java/gorsestack/memory/Calls.java
@@ -6,13 +6,8 @@
 import gorsestack.decision.Outcome;
 import gorsestack.decision.Outgoing;
 import gorsestack.decision.Settings;
-import gorsestack.decision.Upstreams;
 import gorsestack.operate.Handover;
 import gorsestack.operate.Management;
-import gorsestack.recovery.Brake;
-import gorsestack.recovery.Restore;
-import gorsestack.recovery.Returning;
-import gorsestack.recovery.State;
 import gorsestack.settings.Limits;
 import gorsestack.wire.Answer;
 import gorsestack.wire.BadMessage;
@@ -33,7 +28,6 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import java.util.function.Predicate;
 
 /** The calls and attempts that are out. Drives the module, and does what it says; decides nothing. */
 public final class Calls implements Outgoing, ClientConnection.Intake, Discovery.Listener, Management.Balancer {
@@ -113,57 +107,43 @@
     private final boolean traced = LOG.isLoggable(System.Logger.Level.DEBUG);
     private final EventLoop eventLoop;
     private final Limits limits;
-    private final Network network;
     private final Flow flow;
     private final Pool pool;
     private final long step;
     private final Random random;
     private final BalancingPolicy policy;
     private final LoadReport reports;
+    private final ClientConnections clients;
+    private final Recovery recovery;
     private Mail mail;
-    private Listing listing;
-    /** What an earlier process had learnt, until discovery has told which upstreams there are. */
-    private List<double[]> kept;
-    /** A list that was kept is asked for no sooner. */
-    private long asksAt;
-    private Returning returning;
-    private Brake brake;
-    /** By how much it holds back. */
-    private double level;
     private final Map<String, Settings.Product> products = new HashMap<>();
     private final Map<String, Call> calls = new HashMap<>();
     private final Map<ClientConnection, Call> byClient = new HashMap<>();
     private final Set<Attempt> out = new LinkedHashSet<>();
-    private final Set<ClientConnection> clients = new LinkedHashSet<>();
     private final Discovery discovery;
     /** The time of the input that the module is at; what it asks for counts from there. */
     private long now;
     private int notSent;
     private int turnedAway;
-    private boolean roomAsked;
     private boolean ready;
     private boolean ending;
-    private boolean leaving;
-    private boolean away;
-    private int mostClients;
     /** No call may be open any more then; set once the end is known. */
     private long lastAnswer = Long.MAX_VALUE;
-    private Runnable whenQuiet;
 
     public Calls(EventLoop eventLoop, Limits limits, Settings settings, long seed, Network network,
             InetSocketAddress discovery, long index) {
         this.eventLoop = eventLoop;
         this.limits = limits;
-        this.network = network;
         this.flow = new Flow(limits);
         this.step = settings.step();
         this.pool = new Pool(network, limits, eventLoop, flow);
         this.random = new Random(seed);
-        mostClients = limits.clientConnections();
+        clients = new ClientConnections(eventLoop, limits, network);
         this.discovery = new Discovery(network, eventLoop, limits, discovery, index, this);
         settings.products().forEach(p -> products.put(p.name(), p));
         reports = new LoadReport(settings.reports().columns());
         policy = new BalancingPolicy(settings.repeatsWithin(limits.wayOut()), seed, tick(), this);
+        recovery = new Recovery(eventLoop, limits, policy, this.discovery, this::news);
         if (!settings.asksForList()) {
             // Lists are pushed: what there is to tell counts as told from the first moment, so the watch is opened at once.
             eventLoop.at(eventLoop.now() + (long) (random.nextDouble() * limits.watchSpread()), this::watch);
@@ -180,7 +160,7 @@
 
     @Override
     public void call(ClientConnection from, Request request, long arrivedAt) {
-        if (clients.size() >= mostClients + limits.spareConnections()) {
+        if (clients.full()) {
             // Danger: out of descriptors; a call that was accepted is answered, and its connection given back.
             turnedAway++;
             from.answer(Answer.own(503, "", "too many connections"));
@@ -203,9 +183,7 @@
         byClient.put(from, c);
         // A call's time counts from its last byte.
         long left = request.upload() != null ? Long.MAX_VALUE : timeLeft(c, arrivedAt);
-        if (brake != null) {
-            brake.asked(now, request.again());
-        }
+        recovery.asked(now, request.again());
         trace("{0} taken: {1}, {2} ms left", c.id, request.product(), left / 1_000_000);
         policy.apiCall(tick(), c.id, request.product(), null, left);
     }
@@ -281,29 +259,15 @@
 
     @Override
     public void news(Catalog catalog) {
-        if (listing != null) {
-            listing.news(catalog);
-        }
-        if (returning != null && catalog.news().form() != Upstreams.Form.CACHED) {
-            returning.listed(eventLoop.now());
-        }
+        recovery.heard(catalog);
         policy.upstreams(tick(), catalog.news());
         pool.news(catalog);
-        if (kept != null && catalog.news().form() != Upstreams.Form.CACHED) {
-            double[][] rows = Restore.shrunk(kept, policy.learnt());
-            kept = null;
-            if (rows != null) {
-                LOG.log(System.Logger.Level.INFO, "the fleet has shrunk since; rooms begin with as much less");
-                policy.learnt(now, rows);
-            }
-        }
+        recovery.takenIn(catalog, now);
     }
 
     @Override
     public void failed() {
-        if (brake != null) {
-            brake.listRefused();
-        }
+        recovery.listRefused();
     }
 
     // What the module does.
@@ -389,9 +353,7 @@
         Call c = calls.get(apiCall);
         if (!c.ended) {
             c.end();
-            if (returning != null) {
-                returning.answered(eventLoop.now(), answer.status() == 200);
-            }
+            recovery.answered(answer.status() == 200);
             trace("{0} answered {1}", c.id, answer.status());
             byClient.remove(c.client);
             c.client.answer(answer);
@@ -414,6 +376,7 @@
     /** What carries messages to other balancers; without it none is sent. */
     public void mail(Mail by) {
         mail = by;
+        recovery.mail(by);
     }
 
     /** A message of another balancer's. */
@@ -431,15 +394,7 @@
 
     @Override
     public void watch() {
-        if (eventLoop.now() >= asksAt) {
-            discovery.watch();
-        }
-    }
-
-    /** Asks for the list now, whatever was planned. */
-    public void askForList() {
-        asksAt = 0;
-        discovery.watch();
+        recovery.watch();
     }
 
     /** Discovery has another address. */
@@ -464,51 +419,22 @@
 
     @Override
     public void opened(ClientConnection from) {
-        clients.add(from);
-        if (clients.size() > mostClients) {
-            // Behind what has been read by now: a call that waits its turn is not closed on.
-            eventLoop.execute(this::makeRoom);
-        }
-    }
-
-    /** Danger: idle and silent clients by hundreds keep out those that have something to ask. */
-    private void makeRoom() {
-        int over = clients.size() - mostClients;
-        for (int spared = 0; spared < 3 && over > 0; spared++) {
-            over -= close(spared, over);
-        }
-        if (over > 0 && !roomAsked) {
-            roomAsked = true;
-            eventLoop.at(eventLoop.now() + limits.fresh() / 2, () -> {
-                roomAsked = false;
-                makeRoom();
-            });
-        }
-    }
-
-    /** Closes up to so many of one kind, the oldest first. */
-    private int close(int spared, int most) {
-        List<ClientConnection> chosen = clients.stream().filter(c -> c.spared() == spared).limit(most).toList();
-        chosen.forEach(ClientConnection::spare);
-        return chosen.size();
+        clients.opened(from);
     }
 
     @Override
     public void closed(ClientConnection from) {
-        clients.remove(from);
-        quiet();
+        clients.closed(from);
     }
 
     @Override
     public boolean ready() {
-        return ready && !ending && !away;
+        return ready && !ending && !clients.away();
     }
 
     @Override
     public boolean closing() {
-        // Danger: closed while idle, a connection takes the call with it that is on its way; seen with few
-        // descriptors. Just after an answer that says so there is none.
-        return leaving || away || clients.size() > mostClients;
+        return clients.closing();
     }
 
     @Override
@@ -525,9 +451,7 @@
     /** From now on /_health says that calls may come. */
     public void open() {
         ready = true;
-        if (returning != null) {
-            returning.ready(eventLoop.now());
-        }
+        recovery.ready();
     }
 
     /**
@@ -536,11 +460,9 @@
      */
     public void end(long last, boolean succeeded) {
         ending = true;
-        leaving = succeeded;
         if (succeeded) {
             policy.share(tick(), REST);
-            // They have somewhere to go; what they ask here from now on, if it is large, might not be finished.
-            closeIdle(ClientConnection::served);
+            clients.leaveForAnother();
         }
         lastAnswer = last;
         // Danger: what was taken before and may still wait for its upstream then ends with this process.
@@ -548,24 +470,14 @@
         LOG.log(System.Logger.Level.INFO, "ending; {0} calls held", byClient.size());
     }
 
-    /**
-     * Says when the last connection has gone, its socket too. Danger: one just taken from the backlog of which this thread has
-     * not heard yet, and one whose last answer is still on its way out; the end of the process would reset both.
-     */
-    public void whenQuiet(Runnable quiet) {
-        whenQuiet = quiet;
-        quiet();
-    }
-
-    /** Closes the connections between calls, the others with their answer. */
-    public void leave() {
-        leaving = true;
-        closeIdle(c -> true);
+    /** Those that are connected, and how they end. */
+    public ClientConnections clients() {
+        return clients;
     }
 
-    /** One task each, behind what has been read by then: a call that waits its turn is not closed on. */
-    private void closeIdle(Predicate<ClientConnection> of) {
-        List.copyOf(clients).stream().filter(of).forEach(c -> eventLoop.execute(c::closeIfIdle));
+    /** How this balancer comes back. */
+    public Recovery recovery() {
+        return recovery;
     }
 
     // What operators say.
@@ -583,18 +495,7 @@
 
     @Override
     public void away(boolean isAway) {
-        if (isAway && !away) {
-            eventLoop.at(eventLoop.now() + limits.awayIdle(), this::emptyWhileAway);
-        }
-        away = isAway;
-    }
-
-    /** Danger: a client that asks nothing more would never learn that it is sent away. */
-    private void emptyWhileAway() {
-        if (away) {
-            closeIdle(c -> true);
-            eventLoop.at(eventLoop.now() + limits.sweep(), this::emptyWhileAway);
-        }
+        clients.away(isAway);
     }
 
     /**
@@ -606,103 +507,22 @@
             policy.share(tick(), open ? 0.5 : 1);
         }
         pool.bound(limits.upstreamConnections() / (another ? 2 : 1));
-        mostClients = limits.clientConnections() / (another ? 2 : 1);
-        makeRoom();
-    }
-
-    /** Before the first news: the list is kept for the next process. */
-    public void keepList() {
-        listing = new Listing();
-    }
-
-    /** What may hold a process back that has come back with many others; until it is over. */
-    public void brake(Brake by, long until) {
-        brake = by;
-        ease(until);
-    }
-
-    private void ease(long until) {
-        double before = level;
-        if (mail != null) {
-            brake.returned(mail.returned());
-        }
-        level = brake.level(eventLoop.now());
-        policy.spread(level);
-        if (before == 0 && level > 0) {
-            LOG.log(System.Logger.Level.INFO, "many have come back at once; who is turned away returns spread");
-        }
-        if (eventLoop.now() < until) {
-            eventLoop.at(eventLoop.now() + limits.sweep(), () -> ease(until));
-        } else {
-            brake = null;
-        }
-    }
-
-    /** How far this balancer has come back is told from now on. */
-    public void returns(Returning steps) {
-        returning = steps;
-        lookAgain();
-    }
-
-    private void lookAgain() {
-        if (returning.due() < Long.MAX_VALUE || returning.step() == Returning.Step.LISTED) {
-            eventLoop.at(Math.min(returning.due(), eventLoop.now() + limits.warmUp()), () -> {
-                returning.look(eventLoop.now());
-                lookAgain();
-            });
-        }
+        clients.bound(limits.clientConnections() / (another ? 2 : 1));
     }
 
     @Override
     public String step() {
-        return returning == null ? "" : returning.step().name().toLowerCase(java.util.Locale.ROOT);
+        return recovery.step();
     }
 
     @Override
     public ObjectNode status() {
         ObjectNode status = new ObjectMapper().createObjectNode();
-        long time = eventLoop.now();
         status.put("ready", ready()).put("callsHeld", byClient.size()).put("clientConnections", clients.size());
-        if (returning != null) {
-            status.put("step", step()).put("stepForMs", (time - returning.since()) / 1_000_000);
-        }
-        if (level > 0) {
-            status.put("heldBack", Math.round(level * 100) / 100.0);
-        }
-        ObjectNode list = status.putObject("list").put("discovery", Catalog.text(discovery.address()));
-        if (discovery.confirmedAt() > 0) {
-            list.put("confirmedMsAgo", (time - discovery.confirmedAt()) / 1_000_000);
-        }
-        if (listing != null) {
-            list.put("upstreams", listing.size());
-        }
-        if (mail != null) {
-            mail.status(status);
-        }
+        recovery.status(status);
         return status;
     }
 
-    /** The version of the list that is held. */
-    public long listIndex() {
-        return discovery.index();
-    }
-
-    /** The list as held and when it was last confirmed; null before that. */
-    public State.Listed listed() {
-        return listing.listed(discovery.address(), discovery.confirmedAt());
-    }
-
-    /**
-     * A list that an earlier process kept, when it is asked for, and what was learnt with it. Until then the module's own asking,
-     * sooner as any start's, waits.
-     */
-    public void restored(State.Listed listed, long askAt, List<double[]> learnt) {
-        news(Listing.catalog(listed));
-        kept = learnt;
-        asksAt = askAt;
-        eventLoop.at(askAt, this::askForList);
-    }
-
     /** What the module has learnt, for a process that takes over, and its taking over. */
     public double[][] learnt() {
         return policy.learnt();
@@ -712,34 +532,9 @@
         policy.learnt(tick(), told);
     }
 
-    /** The end has come for all but large answers under way. */
-    public void leaveButAnswers() {
-        List.copyOf(clients).forEach(ClientConnection::leave);
-    }
-
-    private void quiet() {
-        if (whenQuiet == null) {
-            return;
-        }
-        if (clients.isEmpty() && network.accepted() == 0) {
-            Runnable quiet = whenQuiet;
-            whenQuiet = null;
-            quiet.run();
-        } else if (clients.isEmpty()) {
-            eventLoop.at(eventLoop.now() + limits.settle(), this::quiet);
-        }
-    }
-
     private void sweep() {
         pool.retire();
-        // Behind what has been read by now.
-        eventLoop.execute(() -> {
-            List.copyOf(clients).forEach(ClientConnection::giveUpIfOverdue);
-            close(2, Math.max(0, clients.size() - mostClients / 2));
-            if (leaving) {
-                closeIdle(c -> true);
-            }
-        });
+        clients.sweep();
         if (notSent + turnedAway > 0) {
             LOG.log(System.Logger.Level.WARNING, "out of connections: {0} attempts not sent, {1} calls turned away",
                     notSent, turnedAway);
--- /dev/null
+++ b/balancer/src/main/java/gorsestack/memory/Recovery.java
@@ -0,0 +1,206 @@
+package gorsestack.memory;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import gorsestack.decision.BalancingPolicy;
+import gorsestack.decision.Upstreams;
+import gorsestack.recovery.Brake;
+import gorsestack.recovery.Restore;
+import gorsestack.recovery.Returning;
+import gorsestack.recovery.State;
+import gorsestack.settings.Limits;
+import gorsestack.wire.Catalog;
+import gorsestack.wire.Discovery;
+import gorsestack.wire.EventLoop;
+import java.util.List;
+import java.util.function.Consumer;
+
+/**
+ * How this balancer comes back: the list and the figures that an earlier process kept, what holds it back where many came back at once,
+ * how far it has come, and what there is to be seen of it. Each part is there only where it is asked for. On the event loop's thread.
+ */
+public final class Recovery {
+    private static final System.Logger LOG = System.getLogger("gorsestack.calls");
+
+    private final EventLoop eventLoop;
+    private final Limits limits;
+    private final BalancingPolicy policy;
+    private final Discovery discovery;
+    private final Consumer<Catalog> news;
+    private Mail mail;
+    private Listing listing;
+    /** What an earlier process had learnt, until discovery has told which upstreams there are. */
+    private List<double[]> kept;
+    /** A list that was kept is asked for no sooner. */
+    private long asksAt;
+    private Returning returning;
+    private Brake brake;
+    /** By how much it holds back. */
+    private double level;
+
+    Recovery(EventLoop eventLoop, Limits limits, BalancingPolicy policy, Discovery discovery, Consumer<Catalog> news) {
+        this.eventLoop = eventLoop;
+        this.limits = limits;
+        this.policy = policy;
+        this.discovery = discovery;
+        this.news = news;
+    }
+
+    void mail(Mail by) {
+        mail = by;
+    }
+
+    // What it is told.
+
+    void asked(long now, boolean again) {
+        if (brake != null) {
+            brake.asked(now, again);
+        }
+    }
+
+    void listRefused() {
+        if (brake != null) {
+            brake.listRefused();
+        }
+    }
+
+    /** News has come; nobody else has been told yet. */
+    void heard(Catalog catalog) {
+        if (listing != null) {
+            listing.news(catalog);
+        }
+        if (returning != null && catalog.news().form() != Upstreams.Form.CACHED) {
+            returning.listed(eventLoop.now());
+        }
+    }
+
+    /** The module has taken the news in. */
+    void takenIn(Catalog catalog, long now) {
+        if (kept != null && catalog.news().form() != Upstreams.Form.CACHED) {
+            double[][] rows = Restore.shrunk(kept, policy.learnt());
+            kept = null;
+            if (rows != null) {
+                LOG.log(System.Logger.Level.INFO, "the fleet has shrunk since; rooms begin with as much less");
+                policy.learnt(now, rows);
+            }
+        }
+    }
+
+    void answered(boolean fulfilled) {
+        if (returning != null) {
+            returning.answered(eventLoop.now(), fulfilled);
+        }
+    }
+
+    void ready() {
+        if (returning != null) {
+            returning.ready(eventLoop.now());
+        }
+    }
+
+    // The list.
+
+    /** A watch is wanted, unless a list that was kept is to be asked for later. */
+    void watch() {
+        if (eventLoop.now() >= asksAt) {
+            discovery.watch();
+        }
+    }
+
+    /** Asks for the list now, whatever was planned. */
+    public void askForList() {
+        asksAt = 0;
+        discovery.watch();
+    }
+
+    /** Before the first news: the list is kept for the next process. */
+    public void keepList() {
+        listing = new Listing();
+    }
+
+    /** The version of the list that is held. */
+    public long listIndex() {
+        return discovery.index();
+    }
+
+    /** The list as held and when it was last confirmed; null before that. */
+    public State.Listed listed() {
+        return listing.listed(discovery.address(), discovery.confirmedAt());
+    }
+
+    /**
+     * A list that an earlier process kept, when it is asked for, and what was learnt with it. Until then the module's own asking,
+     * sooner as any start's, waits.
+     */
+    public void restored(State.Listed listed, long askAt, List<double[]> learnt) {
+        news.accept(Listing.catalog(listed));
+        kept = learnt;
+        asksAt = askAt;
+        eventLoop.at(askAt, this::askForList);
+    }
+
+    // The brake.
+
+    /** What may hold a process back that has come back with many others; until it is over. */
+    public void brake(Brake by, long until) {
+        brake = by;
+        ease(until);
+    }
+
+    private void ease(long until) {
+        double before = level;
+        if (mail != null) {
+            brake.returned(mail.returned());
+        }
+        level = brake.level(eventLoop.now());
+        policy.spread(level);
+        if (before == 0 && level > 0) {
+            LOG.log(System.Logger.Level.INFO, "many have come back at once; who is turned away returns spread");
+        }
+        if (eventLoop.now() < until) {
+            eventLoop.at(eventLoop.now() + limits.sweep(), () -> ease(until));
+        } else {
+            brake = null;
+        }
+    }
+
+    // How far it has come.
+
+    /** How far this balancer has come back is told from now on. */
+    public void returns(Returning steps) {
+        returning = steps;
+        lookAgain();
+    }
+
+    private void lookAgain() {
+        if (returning.due() < Long.MAX_VALUE || returning.step() == Returning.Step.LISTED) {
+            eventLoop.at(Math.min(returning.due(), eventLoop.now() + limits.warmUp()), () -> {
+                returning.look(eventLoop.now());
+                lookAgain();
+            });
+        }
+    }
+
+    String step() {
+        return returning == null ? "" : returning.step().name().toLowerCase(java.util.Locale.ROOT);
+    }
+
+    void status(ObjectNode status) {
+        long time = eventLoop.now();
+        if (returning != null) {
+            status.put("step", step()).put("stepForMs", (time - returning.since()) / 1_000_000);
+        }
+        if (level > 0) {
+            status.put("heldBack", Math.round(level * 100) / 100.0);
+        }
+        ObjectNode list = status.putObject("list").put("discovery", Catalog.text(discovery.address()));
+        if (discovery.confirmedAt() > 0) {
+            list.put("confirmedMsAgo", (time - discovery.confirmedAt()) / 1_000_000);
+        }
+        if (listing != null) {
+            list.put("upstreams", listing.size());
+        }
+        if (mail != null) {
+            mail.status(status);
+        }
+    }
+}
--- a/balancer/src/main/java/gorsestack/serve/Neighbourhood.java
+++ b/balancer/src/main/java/gorsestack/serve/Neighbourhood.java
@@ -58,7 +58,7 @@
                 zones, nothingLearnt, seed, new Neighbours.Known() {
                     @Override
                     public long index() {
-                        return calls.listIndex();
+                        return calls.recovery().listIndex();
                     }
 
                     @Override
@@ -110,8 +110,8 @@
     @Override
     public void listIsOld(long index) {
         LOG.log(System.Logger.Level.INFO, "a peer has list {0}, later than the {1} held here", Long.toString(index),
-                Long.toString(calls.listIndex()));
-        eventLoop.at(eventLoop.now() + (long) (calls.jitter() * limits.watchSpread()), calls::askForList);
+                Long.toString(calls.recovery().listIndex()));
+        eventLoop.at(eventLoop.now() + (long) (calls.jitter() * limits.watchSpread()), calls.recovery()::askForList);
     }
 
     @Override
--- a/balancer/src/main/java/gorsestack/serve/Service.java
+++ b/balancer/src/main/java/gorsestack/serve/Service.java
@@ -91,23 +91,23 @@
         calls = new Calls(eventLoop, limits, configuration.settings(), configuration.seed(), network,
                 configuration.discovery(), listKept ? restored.listed().index() : configuration.known().index());
         if (restored != null) {
-            calls.keepList();
+            calls.recovery().keepList();
             long now = eventLoop.now();
             long askWithin = configuration.settings().rules().askWithin();
-            eventLoop.execute(() -> calls.returns(new Returning(now, askWithin, configuration.settings().rules().cold(),
+            eventLoop.execute(() -> calls.recovery().returns(new Returning(now, askWithin, configuration.settings().rules().cold(),
                     (step, why) -> LOG.log(System.Logger.Level.INFO, "{0} after {1} ms: {2}", step, (eventLoop.now() - now) / 1_000_000, why))));
         }
         Brake brake = restored == null && configuration.peers().isEmpty() ? null
                 : new Brake(eventLoop.now(), configuration.settings().rules().askWithin());
         if (brake != null) {
             long until = eventLoop.now() + configuration.settings().rules().askWithin();
-            eventLoop.execute(() -> calls.brake(brake, until));
+            eventLoop.execute(() -> calls.recovery().brake(brake, until));
         }
         if (listKept) {
             // Rule 3: what discovery had to tell meanwhile counts as told from then, not from this start.
             long askWithin = configuration.settings().rules().askWithin();
             long askBy = restored.listed().confirmed() + askWithin - limits.watchSpread();
-            eventLoop.execute(() -> calls.restored(restored.listed(), Restore.askAt(eventLoop.now(), askBy, askWithin,
+            eventLoop.execute(() -> calls.recovery().restored(restored.listed(), Restore.askAt(eventLoop.now(), askBy, askWithin,
                     configuration.settings().instances(), calls.jitter()), restored.learnt()));
         } else {
             eventLoop.execute(() -> calls.news(configuration.known()));
@@ -132,7 +132,7 @@
 
                         @Override
                         public State.Listed listed() {
-                            return calls.listed();
+                            return calls.recovery().listed();
                         }
 
                         @Override
@@ -257,12 +257,12 @@
         eventLoop.execute(() -> calls.end(told + limits.endAfterTerm() - limits.wayOut(), succeeded));
         eventLoop.at(told + (succeeded ? 0 : limits.acceptAfterTerm()), network::stopAccepting);
         // Behind what was taken in last: those that the listener took out of its backlog as it closed count by then.
-        eventLoop.at(told + limits.acceptAfterTerm(), () -> calls.whenQuiet(ended::countDown));
-        eventLoop.at(told + (succeeded ? limits.acceptAfterTerm() : limits.serveAfterTerm()), calls::leave);
+        eventLoop.at(told + limits.acceptAfterTerm(), () -> calls.clients().whenQuiet(ended::countDown));
+        eventLoop.at(told + (succeeded ? limits.acceptAfterTerm() : limits.serveAfterTerm()), calls.clients()::leave);
         try {
             if (!ended.await(limits.endAfterTerm(), TimeUnit.NANOSECONDS)) {
                 // Danger: a large answer cut off that its upstream still gives. Whoever cannot wait sends SIGKILL.
-                eventLoop.execute(calls::leaveButAnswers);
+                eventLoop.execute(calls.clients()::leaveButAnswers);
                 ended.await(limits.answersAfterTerm(), TimeUnit.NANOSECONDS);
             }
         } catch (InterruptedException e) {
--- a/balancer/src/test/java/gorsestack/memory/CallsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CallsTest.java
@@ -667,13 +667,13 @@
         Socket still = rig.client();
         still.say(call("read", "d"));
         boolean[] quiet = {false};
-        rig.calls.whenQuiet(() -> quiet[0] = true);
+        rig.calls.clients().whenQuiet(() -> quiet[0] = true);
         // Danger: the other balancer may not be there yet; those connected are served for as long as can be.
         idle.say(call("read", "e"));
         rig.last().ok("e");
         answered(200, idle);
         assertTrue(idle.open);
-        rig.calls.leave();
+        rig.calls.clients().leave();
         rig.drain();
         assertFalse(idle.open);
         rig.attempts().get(0).ok("c");
@@ -708,7 +708,7 @@
         byte[] read = call("read", "c").getBytes(StandardCharsets.US_ASCII);
         rig.execute(() -> {
             rig.execute(() -> client.handler.received(read, rig.now)); // read by now, and waiting its turn
-            rig.calls.leave();
+            rig.calls.clients().leave();
         });
         rig.drain();
         assertTrue(client.open);
--- a/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
@@ -94,7 +94,7 @@
                 rig.queued();
                 Runnable read = rig.takeNext();
                 if (way.equals("leave")) {
-                    rig.calls.leave();
+                    rig.calls.clients().leave();
                 } else {
                     rig.calls.away(way.equals("away"));
                     rig.pass(4_000);
@@ -233,7 +233,7 @@
             rig.queued();
             AtomicInteger ended = new AtomicInteger();
             rig.sockets.stopAccepting();
-            rig.calls.whenQuiet(ended::incrementAndGet);
+            rig.calls.clients().whenQuiet(ended::incrementAndGet);
             assertEquals(0, ended.get());
             say(client, call("read", "c"));
             rig.until(() -> rig.client(0).received > 0);
@@ -241,7 +241,7 @@
             say(upstream, ok("served"));
             rig.until(() -> rig.client(0).sent == 1);
             assertTrue(message(client).endsWith("served"));
-            rig.calls.leave();
+            rig.calls.clients().leave();
             rig.until(() -> rig.client(0).closed > 0);
             assertEquals(0, ended.get(), "its socket is open");
             assertEquals("", rest(client));
@@ -266,11 +266,11 @@
             Socket upstream = attempt(rig, 0);
             String body = "b".repeat(60_000);
             rig.calls.end(rig.now() + 3_000 * SocketRig.MS, false);
-            rig.calls.leave();
+            rig.calls.clients().leave();
             say(upstream, ok(body));
             AtomicInteger ended = new AtomicInteger();
             rig.sockets.stopAccepting();
-            rig.calls.whenQuiet(ended::incrementAndGet);
+            rig.calls.clients().whenQuiet(ended::incrementAndGet);
             rig.until(() -> rig.client(0).channel.unsent() > 0 || rig.client(0).sent > 0);
             String all = rest(client);
             assertTrue(all.endsWith("\r\n\r\n" + body), all.length() + " bytes");
@@ -696,7 +696,7 @@
     /** Says a list and runs until it has been taken in. */
     private static void tell(SocketRig rig, Socket watch, int index, String list) throws Exception {
         say(watch, Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n");
-        rig.until(() -> rig.calls.listIndex() == index);
+        rig.until(() -> rig.calls.recovery().listIndex() == index);
     }
 
     // One customer, another's settings.
