--- a/balancer/src/main/java/gorsestack/settings/Limits.java
+++ b/balancer/src/main/java/gorsestack/settings/Limits.java
@@ -14,6 +14,7 @@
         long streamedBytes,
         int flowBytes,
         int allFlowBytes,
+        int untakenBytes,
         int queuedBytes,
         int floodBytes,
         long allQueuedBytes,
@@ -99,6 +100,8 @@
                 // What waits to go out of one, and of all together: a seventh of the heap.
                 64 << 10,
                 6 << 20,
+                // Of one that no upstream takes yet, to see its client's end: some milliseconds of reading, a third of what all may have.
+                1 << 20,
                 // What one connection may have read ahead of the event loop; 60 MB at full speed are more than the heap.
                 48 << 10,
                 // Thrown away to see the end behind it: some milliseconds of reading.
--- a/balancer/src/main/java/gorsestack/wire/ClientConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientConnection.java
@@ -132,8 +132,8 @@
             return;
         }
         ahead.add(new Chunk(bytes, at));
-        aheadBytes += bytes.length;
-        if (uploading() && aheadBytes > intake.flow().most() && !held) {
+        waits(bytes.length);
+        if (uploading() && !held && !readsOn()) {
             held = true;
             channel.hold(true);
         } else if (!uploading() && aheadBytes > limits.bodyBytes()) {
@@ -142,6 +142,12 @@
         }
     }
 
+    /** So many bytes more, or fewer, wait to be read on. */
+    private void waits(int change) {
+        aheadBytes += change;
+        intake.flow().ahead(change);
+    }
+
     private boolean uploading() {
         return upload != null && !parser.done();
     }
@@ -153,9 +159,16 @@
         movedAt = eventLoop.now();
         if (!stop && !ahead.isEmpty()) {
             eventLoop.execute(this::readAhead);
+        } else if (stop && held && readsOn()) {
+            held = false; // whoever took it has failed; more may wait for the next
+            channel.hold(false);
         }
     }
 
+    private boolean readsOn() {
+        return upload.taken() ? aheadBytes <= intake.flow().most() : intake.flow().readsAhead(aheadBytes);
+    }
+
     @Override
     public void passedOn() {
         intake.bound(this);
@@ -177,7 +190,7 @@
                 }
                 if (used < bytes.length) {
                     ahead.addFirst(new Chunk(Arrays.copyOfRange(bytes, used, bytes.length), lastByteAt));
-                    aheadBytes += bytes.length - used;
+                    waits(bytes.length - used);
                 }
                 if (upload != null) {
                     upload.whole();
@@ -281,6 +294,7 @@
         channel.hold(false);
         List.copyOf(ahead).forEach(c -> discard(c.bytes));
         ahead.clear();
+        waits(-aheadBytes);
     }
 
     private void discard(byte[] bytes) {
@@ -339,7 +353,7 @@
     private void readAhead() {
         while (!closed && !deaf && (uploading() ? !paused : !busy) && !ahead.isEmpty()) {
             Chunk chunk = ahead.remove();
-            aheadBytes -= chunk.bytes.length;
+            waits(-chunk.bytes.length);
             lastByteAt = chunk.at;
             read(chunk.bytes);
         }
@@ -463,6 +477,8 @@
         if (busy && !deaf) {
             intake.gone(this);
         }
+        ahead.clear();
+        waits(-aheadBytes);
         if (upload != null) {
             upload.broken();
         }
--- a/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
@@ -326,6 +326,59 @@
         }
     }
 
+    /** The whole body sent, more of it than may wait for a slow taker, and then gone; the connection for its attempt comes up after that. */
+    @Test
+    void seesThatAClientHasGoneBehindALargeBodyThatNobodyTakesYet() throws Exception {
+        for (int bytes : new int[] {300_000, 1_000_000}) {
+            try (SocketRig rig = new SocketRig(1)) {
+                rig.connectsLate = true;
+                Socket client = rig.client();
+                Thread upload = new Thread(() -> {
+                    try {
+                        say(client, call("once", "c").replace("Length: 2\r\n\r\nhi", "Length: " + bytes + "\r\n\r\n") + "x".repeat(bytes));
+                        client.close();
+                    } catch (java.io.IOException e) {
+                        throw new java.io.UncheckedIOException(e);
+                    }
+                });
+                upload.start();
+                rig.until(() -> rig.dialled.size() == 1 && rig.dialled.get(0).channel != null && rig.client(0).closed > 0);
+                upload.join();
+                rig.dialled.get(0).release();
+                rig.pass(3_000);
+                assertEquals(1, rig.dialled.size());
+                assertEquals(0, rig.dialled.get(0).sent, "no byte of it is sent on");
+            }
+        }
+    }
+
+    /** Where attempts may not be cancelled: a body broken off, by its client's end or by what is no body, ends the attempt it was for. */
+    @Test
+    void endsTheAttemptOfABodyThatBreaksOffWhereNothingIsCancelled() throws Exception {
+        for (boolean goes : new boolean[] {true, false}) {
+            try (SocketRig rig = new SocketRig(1, SocketRig.SETTINGS.replace("\"mayCancel\":true", "\"mayCancel\":false"))) {
+                Socket client = rig.client();
+                String chunk = Integer.toHexString(70_000) + "\r\n" + "x".repeat(70_000) + "\r\n";
+                say(client, call("once", "c").replace("Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n") + chunk);
+                Socket upstream = attempt(rig, 0);
+                if (goes) {
+                    client.close();
+                } else {
+                    say(client, "no chunk\r\n");
+                }
+                rig.until(() -> rig.dialled.get(0).closed > 0);
+                String body = rest(upstream);
+                assertFalse(body.endsWith("0\r\n\r\n"), "nothing makes it look whole");
+                rig.pass(3_000);
+                assertEquals(1, rig.dialled.size(), "no other attempt");
+                if (!goes) {
+                    assertTrue(message(client).startsWith("HTTP/1.1 400 "));
+                    assertEquals(1, rig.client(0).sent);
+                }
+            }
+        }
+    }
+
     /** The client's end is in the event loop's queue, behind what begins an attempt for it. */
     @Test
     void beginsNothingForAClientWhoseEndWaitsInTheQueue() throws Exception {
