--- a/balancer/src/main/java/gorsestack/memory/Calls.java
+++ b/balancer/src/main/java/gorsestack/memory/Calls.java
@@ -89,6 +89,17 @@
             policy.report(tick(), upstream, reports.row(report));
         }
 
+        /** Danger: a connection that comes up late; the upstream would work on for a client that waits no longer. */
+        @Override
+        public byte[] request() {
+            return call.request.forward(coming() ? longest(call.request) : until - eventLoop.now());
+        }
+
+        /** While a large body comes there is no time-out yet; the upstream is told what the client said. */
+        boolean coming() {
+            return until - at > Integer.MAX_VALUE * 1_000_000L;
+        }
+
         @Override
         public boolean mayBeSent() {
             long time = eventLoop.now();
@@ -281,8 +292,6 @@
         s.upstream = upstream;
         s.at = now;
         s.until = s.at + giveUpAfter;
-        // While a large body comes there is no time-out yet; the upstream is told what the client said.
-        boolean coming = giveUpAfter > Integer.MAX_VALUE * 1_000_000L;
         if (repeat(c.request.product()) == Settings.Repeat.DEDUPLICATED) {
             s.sendBy = repeatEnds(c);
         }
@@ -303,11 +312,10 @@
             return;
         }
         out.add(s);
-        s.connection.send(c.request.forward(coming ? longest(c.request) : giveUpAfter), c.request.upload(), s);
-        if (coming) {
-            return;
+        s.connection.send(c.request.upload(), s);
+        if (!s.coming()) {
+            timeOut(s);
         }
-        timeOut(s);
     }
 
     private void timeOut(Attempt s) {
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -17,6 +17,9 @@
         /** What the upstream said of its load, just before that. */
         void reported(String report);
 
+        /** The request's bytes, asked for as they are written: they tell the upstream how long its answer will be waited for from then. */
+        byte[] request();
+
         /** Whether it may still be sent, as its connection comes up only now: its call open, its client there, its time not over. */
         boolean mayBeSent();
     }
@@ -55,7 +58,8 @@
     private Channel channel;
     private HttpParser parser;
     private Waiting waiting;
-    private byte[] unsent;
+    /** Its request waits for the connection. */
+    private boolean unsent;
     /** What the request's body comes by, and what the answer's goes on by, where they are large. */
     private Body upload;
     private Body rest;
@@ -81,7 +85,7 @@
     }
 
     /** Sends one attempt, once the connection is up. */
-    public void send(byte[] request, Body body, Waiting by) {
+    public void send(Body body, Waiting by) {
         kept = parser != null;
         silent = true;
         waiting = by;
@@ -90,15 +94,14 @@
         writing = 0;
         held = false;
         parser = HttpParser.answer(limits);
-        if (channel == null) {
-            unsent = request;
-        } else {
-            write(request);
+        unsent = channel == null;
+        if (!unsent) {
+            write();
         }
     }
 
-    private void write(byte[] request) {
-        piece(request);
+    private void write() {
+        piece(waiting.request());
         if (upload != null) {
             upload.to(this);
         }
@@ -143,7 +146,7 @@
 
     private boolean written() {
         // Danger: a request that waits for its connection has not left; a refused connect proves that nothing ran.
-        return requestWhole && unsent == null && writing == 0;
+        return requestWhole && !unsent && writing == 0;
     }
 
     @Override
@@ -152,16 +155,15 @@
         if (closed) {
             channel.close();
             keeper.closed(this);
-        } else if (unsent != null) {
+        } else if (unsent) {
             // Danger: a connection that comes up as the call's time, the repeat window or the drain grace ends, or for a client
             // that has gone. What is not sent has not run.
             if (!keeper.takes(this) || !waiting.mayBeSent()) {
                 end(Outcome.NOT_SENT);
                 return;
             }
-            byte[] request = unsent;
-            unsent = null;
-            write(request);
+            unsent = false;
+            write();
         } else {
             keeper.free(this);
         }
@@ -299,7 +301,7 @@
     public void giveUp() {
         if (connecting() && upload == null && keeper.keepsComing(this)) {
             waiting = null;
-            unsent = null;
+            unsent = false;
         } else {
             close();
         }
--- a/balancer/src/test/java/gorsestack/memory/CallsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CallsTest.java
@@ -1002,6 +1002,17 @@
         return call("once", id).replace("Length: 2\r\n\r\nhi", "Length: " + length + "\r\n\r\n") + "x".repeat(first);
     }
 
+    /** A connection that comes up late: the upstream is told what is left to the client then, not what was left when it was begun. */
+    @Test
+    void tellsWhatIsLeftWhenTheRequestIsSent() throws IOException {
+        Rig rig = rig(1);
+        rig.answersDials = false;
+        rig.client().say(call("read", "c"));
+        rig.pass(100);
+        rig.last().up();
+        assertTrue(rig.last().out.contains("X-Time-Left: 1865000u\r\n"), rig.last().out);
+    }
+
     /** Danger: many bodies at a time that nobody takes yet, each within its bound, are more than the heap. */
     @Test
     void readsLittleAheadOfManyBodiesThatNobodyTakes() throws IOException {
--- a/balancer/src/test/java/gorsestack/wire/StatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/StatesTest.java
@@ -381,6 +381,11 @@
             return new Flow(LIMITS);
         }
 
+        @Override
+        public byte[] request() {
+            return "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+        }
+
         @Override
         public void ended(Outcome outcome, Answer answer) {
             ended.add(outcome);
@@ -437,7 +442,7 @@
         Keeper keeper = new Keeper();
         UpstreamConnection handler = new UpstreamConnection(LIMITS, loop, keeper, "u", new InetSocketAddress(1));
         handler.connect(network);
-        handler.send("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII), null, keeper);
+        handler.send(null, keeper);
         Socket socket = network.last();
         boolean lengthless = false;
         boolean complete = false;
