--- a/balancer/src/main/java/gorsestack/wire/ClientConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientConnection.java
@@ -71,6 +71,8 @@
     private boolean last;
     private boolean deaf;
     private boolean lingering;
+    /** Its client sends calls ahead of answers. */
+    private boolean pipelines;
     /** More was sent ahead than is kept: what is past that is not served, and the connection ends with what was kept. */
     private boolean cut;
     /** The socket has been asked to end it, unless something has been read meanwhile. */
@@ -132,6 +134,7 @@
             return;
         }
         ahead.add(new Chunk(bytes, at));
+        pipelines |= !uploading();
         waits(bytes.length);
         if (uploading() && !held && !readsOn()) {
             held = true;
@@ -190,6 +193,7 @@
                 }
                 if (used < bytes.length) {
                     ahead.addFirst(new Chunk(Arrays.copyOfRange(bytes, used, bytes.length), lastByteAt));
+                    pipelines = true;
                     waits(bytes.length - used);
                 }
                 if (upload != null) {
@@ -268,8 +272,9 @@
         if (closed || !busy || deaf) {
             return;
         }
-        // Danger: calls sent ahead have been taken; closed on, they would have no answer.
-        last |= (cut || intake.closing() && !channel.asked()) && ahead.isEmpty();
+        // Danger: calls sent ahead have been taken; closed on, they would have no answer. Whoever sends ahead may do so just now, so
+        // such a client is not told: the socket decides, behind the answer.
+        last |= (cut || intake.closing() && !pipelines && !channel.asked()) && ahead.isEmpty();
         if (uploading()) {
             turnDown(answer);
             return;
@@ -346,6 +351,8 @@
         if (!ahead.isEmpty()) {
             // Danger: hundreds of calls sent ahead, each answered at once, would be read inside each other.
             eventLoop.execute(this::readAhead);
+        } else if (pipelines && intake.closing()) {
+            closeIfIdle();
         }
     }
 
--- a/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
@@ -125,15 +125,38 @@
             rig.pass(rig.limits.restOfStream() / SocketRig.MS - 1);
             say(client, "GET /none HTTP/1.1\r\nX-Correlation-Id: later\r\n\r\n");
             rig.queued();
-            Runnable goOn = rig.stopSockets();
+            SocketRig.Standstill sockets = rig.stopSockets();
             rig.until(() -> spy.received == 3);
             assertTrue(spy.channel.unsent() > 0, "its answer is on its way out");
             rig.pass(2);
-            goOn.run();
+            sockets.goOn();
             assertTrue(message(client).startsWith("HTTP/1.1 404 "), "closed under its answer");
         }
     }
 
+    /** A client that sends ahead does so just as its last answer goes out: what was read is answered, then the connection ends. */
+    @Test
+    void answersWhatWasSentAheadAsTheLastAnswerGoesOut() throws Exception {
+        try (SocketRig rig = new SocketRig(1)) {
+            Socket client = rig.client();
+            String none = "GET /none HTTP/1.1\r\nX-Correlation-Id: n\r\n\r\n";
+            say(client, none + none);
+            rig.until(() -> rig.client(0).sent == 2);
+            say(client, none);
+            rig.queued();
+            SocketRig.Standstill sockets = rig.stopInRead(client, none);
+            rig.calls.clients().leave();
+            rig.until(() -> rig.client(0).channel.unsent() > 0);
+            sockets.goOn();
+            rig.until(() -> rig.client(0).sent == 4);
+            for (int i = 0; i < 4; i++) {
+                assertTrue(message(client).startsWith("HTTP/1.1 404 "), "answer " + i);
+            }
+            rig.until(() -> rig.client(0).closed > 0);
+            assertEquals("", rest(client));
+        }
+    }
+
     /**
      * A close over bytes that were never read resets the connection, and on some systems the last answer with it. The JDK ends the stream
      * before it closes, so here the answer itself is seen either way; what the client still writes is not.
--- a/balancer/src/test/java/gorsestack/memory/SocketRig.java
+++ b/balancer/src/test/java/gorsestack/memory/SocketRig.java
@@ -121,6 +121,9 @@
     private final PriorityQueue<Due> timers = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
             : Long.compare(a.order, b.order));
     private volatile long now = 1_700_000_000_000L * MS;
+    /** The sockets' thread asks for the time as it reads. */
+    private volatile Standstill atNextRead;
+    private final Thread own = Thread.currentThread();
     private long order;
     private final List<AutoCloseable> opened = new ArrayList<>();
 
@@ -260,6 +263,11 @@
 
     @Override
     public long now() {
+        Standstill here = atNextRead;
+        if (here != null && Thread.currentThread() != own) {
+            atNextRead = null;
+            here.hold();
+        }
         return now;
     }
 
@@ -293,20 +301,40 @@
         }
     }
 
-    /** From its return on the sockets' thread does nothing, until what it returns is run. */
-    Runnable stopSockets() throws Exception {
-        CountDownLatch stopped = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
-        onSocketsThread(() -> {
+    /** Where the sockets' thread stands still until it is told to go on. */
+    static final class Standstill {
+        private final CountDownLatch stopped = new CountDownLatch(1);
+        private final CountDownLatch goOn = new CountDownLatch(1);
+
+        private void hold() {
             stopped.countDown();
             try {
                 goOn.await(BOUND, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-        });
-        reached(stopped);
-        return goOn::countDown;
+        }
+
+        void goOn() {
+            goOn.countDown();
+        }
+    }
+
+    /** From its return on the sockets' thread does nothing. */
+    Standstill stopSockets() throws Exception {
+        Standstill here = new Standstill();
+        onSocketsThread(here::hold);
+        reached(here.stopped);
+        return here;
+    }
+
+    /** Sends this, and returns with the sockets' thread in the middle of reading it: taken from the socket, and nobody told yet. */
+    Standstill stopInRead(Socket from, String text) throws Exception {
+        Standstill here = new Standstill();
+        atNextRead = here;
+        say(from, text);
+        reached(here.stopped);
+        return here;
     }
 
     private void onSocketsThread(Runnable task) throws Exception {
