--- a/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
+++ b/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
@@ -288,8 +288,7 @@
     public void report(long at, String upstream, double[] row) {
         now = at;
         int u = up.index.getOrDefault(upstream, -1);
-        double held = settings.reports().held(row);
-        double rate = settings.reports().rate(row);
+        double held = settings.reports().held(row), rate = settings.reports().rate(row);
         if (u < 0 || held < 0 || Double.isNaN(rate)) {
             return;
         }
@@ -369,8 +368,7 @@
             mark(u, up.sick[u] && late);
             // Three copies for a hundred answers: the design expects slow ones at one in some hundreds.
             copies = Math.min(10, copies + 0.03);
-            g.answered = g.answeredNow(now) + 1;
-            g.answeredAt = now;
+            g.answer(now);
         } else if (++up.straightFailures[u] >= 3) {
             mark(u, true);
         }
@@ -470,8 +468,7 @@
         if (anchor < 0 || c.product.repeat() == Repeat.IDEMPOTENT || c.product.scope() == Scope.ALL) {
             return true;
         }
-        Entry a = up.entry[c.to[anchor]];
-        Entry b = up.entry[u];
+        Entry a = up.entry[c.to[anchor]], b = up.entry[u];
         return c.product.scope() == Scope.ZONE ? a.zone().equals(b.zone()) : a.cell() == b.cell();
     }
 
@@ -568,11 +565,10 @@
 
     /** Picks by rotation in the ordered groups; each level gives up a wish, never a rule. -1 if none. */
     private int pick(Call c) {
-        int anchor = c.anchor();
-        int start = reported ? lead() : activeGroup();
+        int anchor = c.anchor(), start = reported ? lead() : activeGroup();
         luck = reported ? chance.next() : 0;
         // One in fifty first attempts is a trial; never of a call that has this one attempt only.
-        int sickOne = c.attempts == 0 && c.most > 1 && chance.next() < 1 / 50.0 ? trial() : -1;
+        int sickOne = c.attempts == 0 && c.most > 1 && chance.next() < 1 / 50.0 ? trial(0) : -1;
         if (sickOne >= 0) {
             return sickOne;
         }
@@ -611,7 +607,8 @@
                 }
             }
         }
-        return -1;
+        // Danger: where calls are few, so are trials, and what was sick for a moment stays out for seconds.
+        return c.attempts == 0 && c.product.repeat() == Repeat.IDEMPOTENT ? trial(2 * c.product.slo()) : -1;
     }
 
     /**
@@ -629,20 +626,23 @@
             return up.slowness[u] == 0 ? 1
                     : Math.max(0.02, Math.min(3, up.does(u) / g.does * (g.crowd + 1) / (load + 1)));
         }
-        double base = settings.nominalWeights() ? usual : g.lateness;
-        double took = up.slowness[u] == 0 ? usual : up.slowness[u];
+        double base = settings.nominalWeights() ? usual : g.lateness, took = up.slowness[u] == 0 ? usual : up.slowness[u];
         // Danger: a list whose sizes are all nought; a share of none would never come to a turn.
         double size = settings.nominalWeights() && g.meanWeight > 0 ? up.entry[u].weight() / g.meanWeight : 1;
         double times = took == 0 || base == 0 ? 1 : base / took * Math.pow(g.lateness / usual, 1 - part);
         return Math.max(0.25, Math.min(2, size * times));
     }
 
-    /** The sick one whose last trial is longest ago. */
-    private int trial() {
+    /** The sick one whose last trial is longest ago. Of what would be turned away, with none out there and drawn by the
+     * time gone by: all balancers together make as many trials in that time as there are zones. */
+    private int trial(long every) {
         for (int n = sick.size(); n > 0; n--) {
             int u = sick.remove();
             sick.add(u);
-            if (up.ready(u) && hasTurn(u)) {
+            boolean drawn = every == 0 || up.inFlight[u] == 0
+                    && chance.next() < part * Math.min(1, (now - up.triedAt[u]) / (double) every);
+            up.triedAt[u] = now;
+            if (drawn && up.ready(u) && hasTurn(u)) {
                 return u;
             }
         }
--- a/balancer/src/main/java/gorsestack/decision/Figures.java
+++ b/balancer/src/main/java/gorsestack/decision/Figures.java
@@ -48,6 +48,8 @@
     long[] heardAt = new long[16];
     boolean[] coldTurn = new boolean[16];
     long[] coldAt = new long[16];
+    /** When it was last tried while sick. */
+    long[] triedAt = new long[16];
 
     /** The id's index, a free one if it is new. */
     int of(String id) {
@@ -75,6 +77,7 @@
             heardAt = Arrays.copyOf(heardAt, n);
             coldTurn = Arrays.copyOf(coldTurn, n);
             coldAt = Arrays.copyOf(coldAt, n);
+            triedAt = Arrays.copyOf(triedAt, n);
         }
         CRC32 crc = new CRC32();
         crc.update(id.getBytes(StandardCharsets.UTF_8));
@@ -138,6 +141,7 @@
         marked.remove(mark[u], u);
         heardAt[u] = 0;
         newsAt[u] = 0;
+        triedAt[u] = 0;
         free.add(u);
     }
 }
--- a/balancer/src/main/java/gorsestack/decision/Group.java
+++ b/balancer/src/main/java/gorsestack/decision/Group.java
@@ -66,6 +66,11 @@
         held += change;
     }
 
+    void answer(long now) {
+        answered = answeredNow(now) + 1;
+        answeredAt = now;
+    }
+
     /** Its answers, fading over a quarter of the cold time: a few calls long, following the load. */
     double answeredNow(long now) {
         return answered * Math.exp((answeredAt - now) * 4.0 / cold);
--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -322,6 +322,55 @@
         assertTrue(lost > 0 && lost < 20, lost + " calls went to the lost zone");
     }
 
+    /** Zone a's upstreams have more than they can do, zone b's are sick: how often each of those is tried in so many seconds. */
+    private static int[] trialsOfSick(int balancers, String product, int seconds, boolean hangs) {
+        int[] trials = new int[3];
+        for (int b = 0; b < balancers; b++) {
+            Play play = six(Play.settings(balancers, 0, 1, false, Scope.ALL), b);
+            for (int i = 0; i < 100 * seconds; i++) {
+                String id = "c" + i;
+                play.call(id, product, 990 * MS);
+                List<Play.Attempt> attempts = play.calls.get(id).attempts;
+                int u = attempts.isEmpty() ? -1 : attempts.get(0).upstream.charAt(1) - '3';
+                if (u >= 0) {
+                    trials[u]++;
+                    if (!hangs) {
+                        play.end(id, 0, Outcome.UNREACHABLE);
+                    }
+                } else if (!attempts.isEmpty()) {
+                    play.fulfilLater(id, 350 * MS);
+                }
+                play.runTo(play.now + 10 * MS);
+            }
+            play.settle();
+        }
+        return trials;
+    }
+
+    /**
+     * Seen with one upstream a zone and a third of the connections late: three failures in a row, and one call in fifty that tries again,
+     * so a well upstream was left out for seconds while calls were turned away. Those that may run again try it, at a rate that all keep.
+     */
+    @Test
+    void triesSickUpstreamsWithCallsThatWouldBeTurnedAway() {
+        int seconds = 40;
+        for (boolean hangs : new boolean[] {false, true}) {
+            for (int balancers : new int[] {1, 40}) {
+                // Two zones and SLOs of 400 ms: in 800 ms two trials at each, one where a balancer is alone; where they hang, one at a time.
+                double most = Math.min(2, balancers) * seconds / 0.8;
+                // Every fiftieth call that gets an attempt is a trial as before.
+                double before = 0;
+                for (int u : trialsOfSick(balancers, "mark", seconds, hangs)) {
+                    before += u / 3.0;
+                }
+                for (int u : trialsOfSick(balancers, "read", seconds, hangs)) {
+                    double more = u - before;
+                    assertTrue(more > most * 0.35 && more < most * 1.3, u + " trials of " + balancers + ", " + before + " before");
+                }
+            }
+        }
+    }
+
     /** Danger: a few attempts that hang lift the mean of a group that is quick, and its room shrinks to the least. */
     @Test
     void aFewHungAttemptsDoNotShrinkTheRoom() {
