--- a/lab/src/main/java/gorsestack/lab/Main.java
+++ b/lab/src/main/java/gorsestack/lab/Main.java
@@ -31,7 +31,7 @@
 public final class Main implements Callable<Integer> {
     private static final int BAD = 2;
     private static final List<String> BUILT_IN = List.of("calm", "restart-70", "restart-all", "restart-dark", "restart-over", "restart-state",
-            "restart-rolling", "restart-cut", "restart-cold", "restart-jam", "restart-peers", "cut-zone", "stall", "flap", "smoke", "restart", "return", "cut");
+            "restart-rolling", "restart-cut", "restart-cold", "restart-jam", "restart-peers", "restart-seventy", "cut-zone", "stall", "flap", "smoke", "restart", "return", "cut");
 
     public static void main(String[] args) {
         System.setProperty("java.awt.headless", "true");
