--- a/balancer/src/main/java/gorsestack/memory/Calls.java
+++ b/balancer/src/main/java/gorsestack/memory/Calls.java
@@ -155,11 +155,12 @@
         reports = new LoadReport(settings.reports().columns());
         policy = new BalancingPolicy(settings.repeatsWithin(limits.wayOut()), seed, tick(), this);
         recovery = new Recovery(eventLoop, limits, policy, this.discovery, this::news);
+        eventLoop.at(eventLoop.now() + limits.sweep(), this::sweep);
         if (!settings.asksForList()) {
-            // Lists are pushed: what there is to tell counts as told from the first moment, so the watch is opened at once.
-            eventLoop.at(eventLoop.now() + (long) (random.nextDouble() * limits.watchSpread()), this::watch);
+            // Lists are pushed by an agent of this balancer's own: what it has counts as told from this process's first moment, and
+            // what an earlier one knew may be old by then.
+            eventLoop.execute(this::watch);
         }
-        eventLoop.at(eventLoop.now() + limits.sweep(), this::sweep);
     }
 
     private long tick() {
--- a/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
@@ -685,6 +685,20 @@
 
     // The list.
 
+    /** Where lists are pushed all that there is counts as told from the first moment: the watch is opened in that moment. */
+    @Test
+    void opensItsWatchAtOnceWhereListsArePushed() throws Exception {
+        for (String mode : new String[] {"automatic", "subscribe"}) {
+            try (SocketRig rig = new SocketRig(1, SocketRig.SETTINGS.replace("\"subscribe\"", "\"" + mode + "\""))) {
+                rig.drain();
+                assertEquals(mode.equals("automatic") ? 1 : 0, rig.watches.size(), mode);
+                if (mode.equals("automatic")) {
+                    tell(rig, rig.watch(), 42, "{\"index\":42,\"snapshot\":false,\"endpoints\":[" + rig.entry(0, "terminating") + "]}");
+                }
+            }
+        }
+    }
+
     /** Rule 3: the watch is reset right before a drain is made known; the next one tells it, and nothing new goes there. */
     @Test
     void hearsOfADrainMadeKnownRightAfterItsWatchWasReset() throws Exception {
