--- a/balancer/src/test/java/gorsestack/memory/CallsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CallsTest.java
@@ -14,7 +14,7 @@
 import gorsestack.wire.Channel;
 import gorsestack.wire.ClientConnection;
 import gorsestack.wire.ConnectionHandler;
-import gorsestack.wire.Network;
+import gorsestack.wire.QuietNetwork;
 import gorsestack.wire.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -145,7 +145,7 @@
         }
     }
 
-    private static final class Rig implements EventLoop, Network {
+    private static final class Rig extends QuietNetwork implements EventLoop {
         long now = 1_700_000_000_000L * MS;
         long order;
         final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
@@ -201,18 +201,6 @@
             now = until;
         }
 
-        @Override
-        public void listen(InetSocketAddress address, Supplier<ConnectionHandler> given) { }
-
-        @Override
-        public void listenApart(InetSocketAddress address, int most, Supplier<ConnectionHandler> given) { }
-
-        @Override
-        public void bound(int most) { }
-
-        @Override
-        public void stopAccepting() { }
-
         @Override
         public int accepted() {
             return accepted;
--- a/balancer/src/test/java/gorsestack/wire/SplitsTest.java
+++ b/balancer/src/test/java/gorsestack/wire/SplitsTest.java
@@ -162,24 +162,7 @@
                 task.run();
             }
         };
-        Network network = new Network() {
-            @Override
-            public void listen(InetSocketAddress address, Supplier<ConnectionHandler> handlers) { }
-
-            @Override
-            public void listenApart(InetSocketAddress address, int most, Supplier<ConnectionHandler> handlers) { }
-
-            @Override
-            public void bound(int most) { }
-
-            @Override
-            public void stopAccepting() { }
-
-            @Override
-            public int accepted() {
-                return 0;
-            }
-
+        Network network = new QuietNetwork() {
             @Override
             public void connect(InetSocketAddress address, ConnectionHandler handler) {
                 watch[0] = handler;
--- a/balancer/src/test/java/gorsestack/wire/StatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/StatesTest.java
@@ -14,7 +14,6 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.function.Function;
-import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -400,7 +399,7 @@
         }
     }
 
-    private static final class Dialler implements Network {
+    private static final class Dialler extends QuietNetwork {
         final Loop loop;
         final List<Socket> dialled = new ArrayList<>();
 
@@ -408,23 +407,6 @@
             this.loop = loop;
         }
 
-        @Override
-        public void listen(InetSocketAddress address, Supplier<ConnectionHandler> handlers) { }
-
-        @Override
-        public void listenApart(InetSocketAddress address, int most, Supplier<ConnectionHandler> handlers) { }
-
-        @Override
-        public void bound(int most) { }
-
-        @Override
-        public void stopAccepting() { }
-
-        @Override
-        public int accepted() {
-            return 0;
-        }
-
         @Override
         public void connect(InetSocketAddress address, ConnectionHandler handler) {
             dialled.add(new Socket(loop, handler, address));
