--- a/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
+++ b/balancer/src/test/java/gorsestack/memory/CrossingsTest.java
@@ -124,7 +124,7 @@
             assertTrue(message(client).startsWith("HTTP/1.1 404 "));
             rig.pass(rig.limits.restOfStream() / SocketRig.MS - 1);
             say(client, "GET /none HTTP/1.1\r\nX-Correlation-Id: later\r\n\r\n");
-            rig.queued();
+            rig.await(spy.channel::asked); // not any event: a watch has begun meanwhile
             SocketRig.Standstill sockets = rig.stopSockets();
             rig.until(() -> spy.received == 3);
             assertTrue(spy.channel.unsent() > 0, "its answer is on its way out");
@@ -143,7 +143,7 @@
             say(client, none + none);
             rig.until(() -> rig.client(0).sent == 2);
             say(client, none);
-            rig.queued();
+            rig.await(rig.client(0).channel::asked);
             SocketRig.Standstill sockets = rig.stopInRead(client, none);
             rig.calls.clients().leave();
             rig.until(() -> rig.client(0).channel.unsent() > 0);
@@ -519,13 +519,16 @@
             int before = rig.dialled.size();
             rig.until(() -> rig.dialled.size() > before && rig.dialled.get(before).sent > 0);
             // The first attempt may have run. Its copy begins after the patience of 600 ms; its connection comes up too late.
+            rig.connectsLate = true;
             rig.passUntil(() -> rig.dialled.size() == before + 2);
-            assertEquals(0, rig.dialled.get(before + 1).sent);
-            rig.queued();
+            SocketRig.Spy copy = rig.dialled.get(before + 1);
+            assertEquals(0, copy.sent);
+            rig.until(() -> copy.channel != null);
             rig.late(80);
+            copy.release();
             rig.drain();
             rig.pass(2_000);
-            assertEquals(0, rig.dialled.get(before + 1).sent, "the copy was sent after the window");
+            assertEquals(0, copy.sent, "the copy was sent after the window");
         }
     }
 
