--- a/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
+++ b/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
@@ -529,7 +529,7 @@
         g.learntAt = now;
         // Danger: work that takes longer everywhere is taken for a queue, and calls are turned away that
         // would be in time. At its least room a group has no queue: what it takes then is the work itself.
-        g.bare = g.room > g.least ? Math.min(g.bare, g.lateness) : g.bare + (g.lateness - g.bare) / 20;
+        g.bare = g.room > g.least ? Math.min(g.bare, g.lateness) : g.bare + (g.lateness - g.bare) * fresh;
         if (g.lateness > Math.max(0.35, Math.min(0.6, 1.5 * g.bare))) {
             // At most a cut for each time that its effect takes to show.
             if (now - g.cutAt > g.lateness * product.slo()) {
@@ -608,7 +608,7 @@
             }
         }
         // Danger: where calls are few, so are trials, and what was sick for a moment stays out for seconds.
-        return c.attempts == 0 && c.product.repeat() == Repeat.IDEMPOTENT ? trial(2 * c.product.slo()) : -1;
+        return c.attempts == 0 && c.most > 1 ? trial(2 * c.product.slo()) : -1;
     }
 
     /**
