--- a/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
+++ b/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
@@ -640,7 +640,7 @@
             int u = sick.remove();
             sick.add(u);
             boolean drawn = every == 0 || up.inFlight[u] == 0
-                    && chance.next() < part * Math.min(1, (now - up.triedAt[u]) / (double) every);
+                    && chance.next() < share * part * Math.min(1, (now - up.triedAt[u]) / (double) every);
             up.triedAt[u] = now;
             if (drawn && up.ready(u) && hasTurn(u)) {
                 return u;
--- a/balancer/src/main/java/gorsestack/decision/Figures.java
+++ b/balancer/src/main/java/gorsestack/decision/Figures.java
@@ -48,7 +48,7 @@
     long[] heardAt = new long[16];
     boolean[] coldTurn = new boolean[16];
     long[] coldAt = new long[16];
-    /** When it was last tried while sick. */
+    /** When, sick, it was last looked at for a trial. */
     long[] triedAt = new long[16];
 
     /** The id's index, a free one if it is new. */
