--- a/balancer/src/main/java/gorsestack/decision/Endpoint.java
+++ b/balancer/src/main/java/gorsestack/decision/Endpoint.java
@@ -1,23 +1,26 @@
 package gorsestack.decision;
 
 /**
- * One upstream as discovery lists it.
+ * One upstream as discovery lists it. The adapters build endpoints from discovery's messages, and the balancing policy
+ * and the connection pool use them. Immutable, so any thread may use it.
  *
- * @param id its name, unique in the fleet
- * @param startedAt in nanoseconds of the balancer's clock; 0 when it started long ago
- * @param cell the group within which deduplicated requests are recognized, where their scope is a cell
- * @param weight its nominal size; 1 is a usual one
- * @param kind its hardware or software type, for comparison with endpoints alike
+ * @param id the upstream's name, unique in the fleet
+ * @param state whether the upstream is in service
+ * @param startedAt the time of its last start, in nanoseconds of the balancer's clock; 0 if it started long ago
+ * @param cell the group of upstreams that recognize repeats of a deduplicated request, where the scope is a cell
+ * @param weight its nominal size relative to a typical upstream, whose weight is 1
+ * @param kind its hardware or software type; upstreams of the same type are expected to have similar latencies
+ * @param zone the zone that it runs in
  */
 public record Endpoint(
         String id, EndpointState state, long startedAt, int cell, double weight, String kind, String zone) {
 
-    /** Returns the same endpoint with another start time. */
-    public Endpoint startedAt(long at) {
-        return new Endpoint(id, state, at, cell, weight, kind, zone);
+    /** Returns a copy of this endpoint with another start time. */
+    public Endpoint startedAt(long startTime) {
+        return new Endpoint(id, state, startTime, cell, weight, kind, zone);
     }
 
-    /** Returns the same endpoint, removed. */
+    /** Returns a copy of this endpoint in the state {@link EndpointState#GONE}. */
     Endpoint removed() {
         return new Endpoint(id, EndpointState.GONE, startedAt, cell, weight, kind, zone);
     }
--- a/balancer/src/main/java/gorsestack/decision/EndpointState.java
+++ b/balancer/src/main/java/gorsestack/decision/EndpointState.java
@@ -1,11 +1,11 @@
 package gorsestack.decision;
 
-/** What discovery says about an endpoint. */
+/** The state of an endpoint as discovery reports it. */
 public enum EndpointState {
-    /** In service. */
+    /** The endpoint is in service. */
     READY,
-    /** Takes nothing new and finishes what is in flight. */
+    /** The endpoint accepts no new requests and finishes those in flight. */
     DRAINING,
-    /** Removed from the list. */
+    /** The endpoint has been removed from the list. */
     GONE
 }
--- a/balancer/src/main/java/gorsestack/decision/EndpointUpdate.java
+++ b/balancer/src/main/java/gorsestack/decision/EndpointUpdate.java
@@ -2,18 +2,24 @@
 
 import java.util.List;
 
-/** One update of the endpoint list from discovery: a snapshot, a delta to the list held so far, or a failed poll. */
+/**
+ * One update of the endpoint list from discovery: a snapshot, a delta to the current list, or a failed poll. The
+ * adapters create updates and pass them to {@link BalancingPolicy#onEndpointUpdate}. Immutable if its list is.
+ *
+ * @param kind what the update means for endpoints that it does not contain
+ * @param endpoints the endpoints that the update contains; empty for a failed poll
+ */
 public record EndpointUpdate(Kind kind, List<Endpoint> endpoints) {
 
-    /** What an update says about endpoints that it does not name. */
+    /** The kind of an update, which decides what happens to endpoints that the update does not contain. */
     public enum Kind {
-        /** A snapshot that an earlier process persisted; discovery has not confirmed it yet. */
+        /** A snapshot that an earlier process persisted and that discovery has not confirmed yet. */
         CACHED,
-        /** The whole list: an endpoint that it does not name has been removed. */
+        /** The complete list: an endpoint that it does not contain has been removed. */
         SNAPSHOT,
-        /** Changes alone: an endpoint that it does not name is as it was. */
+        /** Changes only: an endpoint that it does not contain is unchanged. */
         DELTA,
-        /** The poll failed and brought no endpoints. */
+        /** The poll failed and returned no endpoints. */
         FAILED
     }
 
--- a/balancer/src/main/java/gorsestack/decision/FleetMembership.java
+++ b/balancer/src/main/java/gorsestack/decision/FleetMembership.java
@@ -3,9 +3,15 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Applies what discovery and operators say about upstreams, and sorts those available into localities. */
+/**
+ * Applies updates from discovery and maintenance orders from operators to the upstreams, and assigns the available
+ * upstreams to localities. Used by {@link BalancingPolicy} on its thread.
+ */
 final class FleetMembership {
-    /** Calls that an upstream is given at the least: as part of their time is spent a tier below, three hardly wait. */
+    /**
+     * Minimum concurrency limit of one upstream for the whole fleet, in attempts. Three attempts at an upstream hardly
+     * queue, because part of their time is spent in the tier below.
+     */
     private static final int MIN_LIMIT_PER_UPSTREAM = 3;
 
     private final Settings settings;
@@ -30,7 +36,7 @@
         this.random = random;
     }
 
-    /** A snapshot or a delta of the endpoint list. */
+    /** Applies a snapshot or a delta of the endpoint list, and frees the slots of removed upstreams that no call uses. */
     void apply(EndpointUpdate update, long now) {
         if (update.isDelta()) {
             for (Endpoint endpoint : update.endpoints()) {
@@ -46,20 +52,21 @@
         assignLocalities(now);
     }
 
-    /** What a snapshot does not name has been removed. */
+    /** Applies a snapshot: upstreams that it does not contain have been removed. */
     private void applySnapshot(EndpointUpdate update, long now) {
-        boolean[] named =
+        boolean[] listed =
                 new boolean[upstreams.slots().size() + update.endpoints().size()];
         for (Endpoint endpoint : update.endpoints()) {
-            named[apply(endpoint, now).index] = true;
+            listed[apply(endpoint, now).index] = true;
         }
         for (UpstreamState upstream : upstreams.slots()) {
-            if (!named[upstream.index]) {
+            if (!listed[upstream.index]) {
                 upstreams.update(upstream, upstream.endpoint.removed());
             }
         }
     }
 
+    /** Applies the state of one endpoint; an upstream that is new or has restarted starts with nothing learned. */
     private UpstreamState apply(Endpoint endpoint, long now) {
         boolean known = upstreams.find(endpoint.id()) != null;
         UpstreamState upstream = upstreams.findOrAdd(endpoint.id());
@@ -69,9 +76,9 @@
             upstream.rotationCredit = random.next();
             upstream.upstreamClass = upstreams.classOf(locality, endpoint.kind(), endpoint.weight());
         }
-        Endpoint before = upstream.endpoint;
+        Endpoint previous = upstream.endpoint;
         upstreams.update(upstream, endpoint);
-        if (!known || before.startedAt() != endpoint.startedAt() || before.state() == EndpointState.GONE) {
+        if (!known || previous.startedAt() != endpoint.startedAt() || previous.state() == EndpointState.GONE) {
             restart(upstream, now);
         }
         return upstream;
@@ -82,7 +89,12 @@
         upstream.resetAfterRestart(now);
     }
 
-    /** An operator's entry, whatever discovery says: out of service, or back in it and warming up from that time on. */
+    /**
+     * Applies an operator's maintenance order, which overrides discovery.
+     *
+     * @param endedAt when the upstream was returned to service, from which time it warms up, or
+     *     {@link UpstreamTable#NOT_ENDED} to take it out of service
+     */
     void setMaintenance(String id, long endedAt, long now) {
         upstreams.setMaintenance(id, endedAt);
         UpstreamState upstream = upstreams.find(id);
@@ -92,7 +104,10 @@
         }
     }
 
-    /** Scales the concurrency limits. Danger: two processes in an upgrade that each act as the whole balancer. */
+    /**
+     * Sets this process's quota and scales the concurrency limits to it. Without this, two processes that run side by
+     * side during an upgrade would each act as the whole balancer.
+     */
     void setProcessQuota(double quota, long now) {
         for (Locality locality : localities) {
             locality.concurrency.limit *= quota / fleetQuota.processQuota;
@@ -101,6 +116,7 @@
         assignLocalities(now);
     }
 
+    /** Recomputes the members of each locality, the sums over them, and the minimum concurrency limits. */
     private void assignLocalities(long now) {
         UpstreamState[][] members = availableByLocality();
         for (Locality locality : localities) {
@@ -114,7 +130,7 @@
         }
     }
 
-    /** The available upstreams of each locality, by slot; one pass over all slots, as lists are large. */
+    /** Returns the available upstreams of each locality, in the order of their slots, in one pass because lists are large. */
     private UpstreamState[][] availableByLocality() {
         List<UpstreamState> slots = upstreams.slots();
         UpstreamState[][] members = new UpstreamState[localities.length][slots.size()];
@@ -132,15 +148,18 @@
         return members;
     }
 
-    /** With load reports in this balancer's own order: rank and slot in one number, which sorts faster than objects. */
+    /**
+     * Sorts upstreams into this balancer's own order, which is used with load reports. The sort key holds rank and slot
+     * in one number, because numbers sort faster than objects.
+     */
     private void sortBySubsetRank(UpstreamState[] members) {
-        long[] ranks = new long[members.length];
+        long[] sortKeys = new long[members.length];
         for (int i = 0; i < members.length; i++) {
-            ranks[i] = (long) UpstreamTable.subsetRank(members[i], settings.instanceIndex()) << 32 | members[i].index;
+            sortKeys[i] = (long) UpstreamTable.subsetRank(members[i], settings.instanceIndex()) << 32 | members[i].index;
         }
-        Arrays.sort(ranks);
+        Arrays.sort(sortKeys);
         for (int i = 0; i < members.length; i++) {
-            members[i] = upstreams.slots().get((int) ranks[i]);
+            members[i] = upstreams.slots().get((int) sortKeys[i]);
         }
     }
 }
--- a/balancer/src/main/java/gorsestack/decision/LearnedLocality.java
+++ b/balancer/src/main/java/gorsestack/decision/LearnedLocality.java
@@ -4,10 +4,12 @@
 import java.util.OptionalDouble;
 
 /**
- * What a balancer has learned about the upstreams of one locality, as one process exports it for another. Immutable.
+ * The state that a balancer has learned about the upstreams of one locality. One process exports it for another, in the
+ * state file, in a handover or in a message to a peer. Immutable, so any thread may use it.
  *
- * <p>The stored form is a row of numbers. A row may come from another version or from a damaged writer, so any length and any content
- * is accepted here and returned unchanged by {@link #toRow()}; only a row that {@link #isWellFormed()} may be applied.
+ * <p>The stored form is a row of numbers. A row may come from another version or from a faulty writer, so this class
+ * accepts any length and any content and returns the row unchanged from {@link #toRow()}. A row may be applied only if
+ * {@link #isWellFormed()} returns true.
  */
 public final class LearnedLocality {
     private static final int CONCURRENCY_LIMIT = 0;
@@ -17,7 +19,7 @@
     private static final int MEMBER_COUNT = 4;
     private static final int COLUMNS_WITHOUT_MEMBER_COUNT = 4;
     private static final int COLUMNS = 5;
-    /** No column can reach this in practice; a larger number comes from a row that means something else. */
+    /** Exclusive upper bound of a plausible value in any column. A larger number comes from a row with another meaning. */
     private static final double MAX_VALUE = 1e6;
 
     private final double[] row;
@@ -26,48 +28,48 @@
         this.row = row;
     }
 
-    /** The state that a stored or received row holds, whatever its length and content. */
+    /** Creates the state from a stored or received row of any length and content. */
     public static LearnedLocality ofRow(double... row) {
         return new LearnedLocality(row.clone());
     }
 
-    /** The stored form, exactly as it was given to {@link #ofRow}. */
+    /** Returns the stored form, exactly as it was given to {@link #ofRow}. */
     public double[] toRow() {
         return row.clone();
     }
 
-    /** Attempts that may be in flight to the locality at once. */
+    /** Returns the concurrency limit: the number of attempts that may be in flight to the locality at once. */
     public double concurrencyLimit() {
         return column(CONCURRENCY_LIMIT);
     }
 
-    /** Recent latency as a multiple of the latency objective. */
+    /** Returns the recent latency as a multiple of the latency objective. */
     public double latencyRatio() {
         return column(LATENCY_RATIO);
     }
 
-    /** Latency without queueing as a multiple of the latency objective. */
+    /** Returns the latency without queueing as a multiple of the latency objective. */
     public double baselineLatencyRatio() {
         return column(BASELINE_LATENCY_RATIO);
     }
 
-    /** Decaying count of recent responses. */
+    /** Returns the exponentially decayed number of recent responses. */
     public double responseRate() {
         return column(RESPONSE_RATE);
     }
 
-    /** How many upstreams the locality had; empty for rows of versions that did not record it. */
+    /** Returns the number of upstreams in the locality; empty for a row from a version that did not record it. */
     public OptionalDouble memberCount() {
         return row.length == COLUMNS ? OptionalDouble.of(row[MEMBER_COUNT]) : OptionalDouble.empty();
     }
 
-    /** Whether the row has a known length and plausible values, so that it may be applied. */
+    /** Returns whether the row has a known length and plausible values, so that it may be applied. */
     public boolean isWellFormed() {
         return (row.length == COLUMNS_WITHOUT_MEMBER_COUNT || row.length == COLUMNS)
                 && Arrays.stream(row).allMatch(value -> value >= 0 && value < MAX_VALUE);
     }
 
-    /** The same state with another concurrency limit; a row without any column stays as it is. */
+    /** Returns this state with another concurrency limit; a row without any column is returned unchanged. */
     public LearnedLocality withConcurrencyLimit(double concurrencyLimit) {
         double[] changed = row.clone();
         if (changed.length > CONCURRENCY_LIMIT) {
@@ -76,7 +78,10 @@
         return new LearnedLocality(changed);
     }
 
-    /** The same state with concurrency limit and response rate multiplied by a factor; a row that is too short stays as it is. */
+    /**
+     * Returns this state with concurrency limit and response rate multiplied by a factor. A row that is too short to
+     * have all columns is returned unchanged.
+     */
     public LearnedLocality decayed(double factor) {
         double[] changed = row.clone();
         if (changed.length >= COLUMNS_WITHOUT_MEMBER_COUNT) {
@@ -86,6 +91,7 @@
         return new LearnedLocality(changed);
     }
 
+    /** Returns the value of a column; 0 if the row is too short to have it. */
     private double column(int index) {
         return index < row.length ? row[index] : 0;
     }
--- a/balancer/src/main/java/gorsestack/decision/LoadGossip.java
+++ b/balancer/src/main/java/gorsestack/decision/LoadGossip.java
@@ -1,61 +1,68 @@
 package gorsestack.decision;
 
 /**
- * Codec of the message in which balancers pass on load reports: a version, then for each upstream three bytes of its
- * id's CRC32, the latency there, the report's age, and the calls in flight. Any bytes may arrive.
+ * Encodes and decodes the message in which balancers pass on load reports. The message holds a version byte, then for
+ * each upstream three bytes of its id's CRC32, and one byte each for its latency, the age of its report and its calls
+ * in flight. The decoder accepts any bytes. Used by {@link LoadReports}; has no state, so any thread may use it.
  */
 final class LoadGossip {
-    /** The newest dozen: 73 bytes, so two messages cost less than one of all reports, and new ones spread faster. */
+    /**
+     * Maximum number of upstreams in a message. Twelve make 73 bytes, so two messages with the newest reports cost less
+     * than one with all reports, and new reports spread faster.
+     */
     static final int MAX_ENTRIES = 12;
 
     private static final byte VERSION = 1;
     private static final int ENTRY_BYTES = 6;
     private static final int MAX_MESSAGE_BYTES = 256;
     /** The unit of a report's age, in nanoseconds. */
-    private static final long AGE_UNIT = 50_000_000;
-    /** Older reports have this age too; they are ignored. */
-    private static final int MAX_AGE = 255;
+    private static final long AGE_UNIT_NANOS = 50_000_000;
+    /** Encoded age of this many units or more. The receiver ignores reports of this age. */
+    private static final int MAX_AGE_UNITS = 255;
 
     private static final int MAX_BYTE = 255;
-    /** Latencies are logarithmic: a ratio of one is this, each e-th this many steps away. */
-    private static final int LATENCY_OF_ONE = 128;
+    /** Encoded latency ratio of 1. Latency ratios are encoded on a logarithmic scale. */
+    private static final int ENCODED_RATIO_OF_ONE = 128;
 
-    private static final int LATENCY_STEPS = 12;
-    private static final double MIN_LATENCY = 1e-9;
-    private static final int IN_FLIGHT_STEPS = 24;
+    /** Steps of the encoded latency ratio by which it grows when the ratio grows by a factor of e. */
+    private static final int LATENCY_STEPS_PER_E = 12;
+    /** Lower bound of a latency ratio before its logarithm is taken. */
+    private static final double MIN_LATENCY_RATIO = 1e-9;
+    /** Steps of the encoded number of calls in flight, which is logarithmic as well, for each factor of e. */
+    private static final int IN_FLIGHT_STEPS_PER_E = 24;
 
-    /** Receives each entry that makes sense. */
+    /** Receives each decoded entry whose report is not too old. */
     interface Receiver {
         void onEntry(int idHash, double latencyRatio, double inFlight, long reportedAt);
     }
 
     private LoadGossip() {}
 
-    /** Encodes the reports on the first dozen of these upstreams. */
+    /** Encodes the load reports of the first {@link #MAX_ENTRIES} of these upstreams. */
     static byte[] write(UpstreamState[] upstreams, long now) {
         int count = Math.min(MAX_ENTRIES, upstreams.length);
         byte[] message = new byte[1 + ENTRY_BYTES * count];
         message[0] = VERSION;
-        int at = 1;
+        int offset = 1;
         for (int i = 0; i < count; i++) {
             UpstreamState upstream = upstreams[i];
-            message[at++] = (byte) (upstream.idHash >> 16);
-            message[at++] = (byte) (upstream.idHash >> 8);
-            message[at++] = (byte) upstream.idHash;
-            message[at++] = encodeLatency(upstream.latencyRatio);
-            message[at++] = (byte) Math.min(MAX_AGE, (now - upstream.reportedAt) / AGE_UNIT);
-            message[at++] =
-                    (byte) Math.min(MAX_BYTE, Math.round(IN_FLIGHT_STEPS * Math.log1p(upstream.reportedInFlight)));
+            message[offset++] = (byte) (upstream.idHash >> 16);
+            message[offset++] = (byte) (upstream.idHash >> 8);
+            message[offset++] = (byte) upstream.idHash;
+            message[offset++] = encodeLatency(upstream.latencyRatio);
+            message[offset++] = (byte) Math.min(MAX_AGE_UNITS, (now - upstream.reportedAt) / AGE_UNIT_NANOS);
+            message[offset++] =
+                    (byte) Math.min(MAX_BYTE, Math.round(IN_FLIGHT_STEPS_PER_E * Math.log1p(upstream.reportedInFlight)));
         }
         return message;
     }
 
     private static byte encodeLatency(double ratio) {
-        long steps = Math.round(LATENCY_OF_ONE + LATENCY_STEPS * Math.log(Math.max(MIN_LATENCY, ratio)));
+        long steps = Math.round(ENCODED_RATIO_OF_ONE + LATENCY_STEPS_PER_E * Math.log(Math.max(MIN_LATENCY_RATIO, ratio)));
         return (byte) Math.max(0, Math.min(MAX_BYTE, steps));
     }
 
-    /** Decodes a message; one of another version, cut short or too long is ignored. */
+    /** Decodes a message. A message of another version, a truncated one and one that is too long are ignored. */
     static void read(byte[] message, long now, Receiver receiver) {
         if (message == null
                 || message.length < 1
@@ -64,16 +71,16 @@
                 || message.length > MAX_MESSAGE_BYTES) {
             return;
         }
-        for (int at = 1; at < message.length; at += ENTRY_BYTES) {
-            int age = message[at + 4] & MAX_BYTE;
-            if (age < MAX_AGE) {
+        for (int offset = 1; offset < message.length; offset += ENTRY_BYTES) {
+            int age = message[offset + 4] & MAX_BYTE;
+            if (age < MAX_AGE_UNITS) {
                 receiver.onEntry(
-                        (message[at] & MAX_BYTE) << 16
-                                | (message[at + 1] & MAX_BYTE) << 8
-                                | (message[at + 2] & MAX_BYTE),
-                        Math.exp(((message[at + 3] & MAX_BYTE) - LATENCY_OF_ONE) / (double) LATENCY_STEPS),
-                        Math.expm1((message[at + 5] & MAX_BYTE) / (double) IN_FLIGHT_STEPS),
-                        now - age * AGE_UNIT);
+                        (message[offset] & MAX_BYTE) << 16
+                                | (message[offset + 1] & MAX_BYTE) << 8
+                                | (message[offset + 2] & MAX_BYTE),
+                        Math.exp(((message[offset + 3] & MAX_BYTE) - ENCODED_RATIO_OF_ONE) / (double) LATENCY_STEPS_PER_E),
+                        Math.expm1((message[offset + 5] & MAX_BYTE) / (double) IN_FLIGHT_STEPS_PER_E),
+                        now - age * AGE_UNIT_NANOS);
             }
         }
     }
--- a/balancer/src/main/java/gorsestack/decision/LoadReports.java
+++ b/balancer/src/main/java/gorsestack/decision/LoadReports.java
@@ -3,24 +3,28 @@
 import gorsestack.decision.Settings.Product;
 
 /**
- * Learns each upstream's load from its own reports and from those that peers pass on, and passes on the newest.
- * Danger: one of a thousand balancers meets an upstream twice a minute, too seldom to go by its own attempts.
+ * Learns each upstream's load from its load reports and from those that peers pass on, and sends the newest reports to
+ * peers. One of a thousand balancers sends an upstream two attempts a minute, too few to estimate its load from these
+ * alone. Used by {@link BalancingPolicy} on its thread.
  */
 final class LoadReports {
     private static final double NANOS_PER_SECOND = 1e9;
-    /** Where the settings have no product. */
+    /** Latency objective in nanoseconds that is assumed if the settings contain no product. */
     private static final double DEFAULT_SLO = 1e9;
-    /** Weight of a new report's latency: reports are noisy, so about the last three count. */
+    /** Weight of a new report's latency in the moving mean. Reports are noisy, so the mean covers about the last three. */
     private static final double LATENCY_WEIGHT = 0.3;
-    /** Weight of a new report's number of calls in flight. */
+    /** Weight of a new report's number of calls in flight in the moving mean. */
     private static final double IN_FLIGHT_WEIGHT = 0.5;
-    /** Calls in flight that an idle upstream is taken to have, so that its latency is not 0. */
+    /** Number of calls in flight that is added to the reported one, so that the latency of an idle upstream is not 0. */
     private static final double IDLE_IN_FLIGHT = 0.2;
-    /** Moving mean of the work of a call over this many responses. */
+    /** Number of responses that the moving mean of the work of a call covers. */
     private static final int WORK_WINDOW = 20;
-    /** Danger: what does not respond does not report. Silence counts as a latency of this many times its length. */
+    /**
+     * Multiple of the time without a response that counts as the latency of an upstream. Without this, an upstream that
+     * does not respond would keep its last reported latency, because it sends no reports either.
+     */
     private static final int SILENCE_FACTOR = 4;
-    /** Two messages a response spread a report sooner than one that holds twice as much. */
+    /** Peers that are notified on each response. Two messages spread a report faster than one that is twice as long. */
     private static final int PEERS_PER_RESPONSE = 2;
 
     private final Settings settings;
@@ -28,9 +32,11 @@
     private final OutlierDetector outliers;
     private final SeededRandom random;
     private final PolicyActions actions;
+    /** Whether upstreams send load reports. */
     private final boolean enabled;
+    /** Mean latency objective of all products, in nanoseconds. */
     private final double meanSlo;
-    /** Latency ratio of a call alone at an upstream of size one; 0 if unknown. */
+    /** Latency ratio of a call that is alone at an upstream of size 1; 0 if unknown. */
     private double workPerCall;
 
     LoadReports(
@@ -52,7 +58,7 @@
         return meanSlo;
     }
 
-    /** An upstream's own report; an unknown upstream's and a malformed one are ignored. */
+    /** Processes a load report that an upstream sent. Ignores a malformed report and one from an unknown upstream. */
     void onReport(String id, double[] row, long now) {
         UpstreamState upstream = upstreams.find(id);
         double inFlight = settings.reports().inFlightIn(row);
@@ -72,14 +78,18 @@
                 now);
     }
 
-    /** By Little's law as long as responding to those in flight takes; without a rate, as their work and its own. */
+    /**
+     * Returns the latency ratio to expect of the next call at an upstream. With a reported rate, this is by Little's law
+     * the time that responding to the calls in flight takes; without a rate, it is the work of these calls and of the
+     * next one.
+     */
     private double expectedLatency(UpstreamState upstream, double inFlight, double rate) {
         return rate < 0
                 ? workPerCall * (inFlight + 1) / upstream.size()
                 : (inFlight + IDLE_IN_FLIGHT) / (rate + 1) * NANOS_PER_SECOND / meanSlo;
     }
 
-    /** A peer's message. The newest report on an upstream stands, whoever received it. */
+    /** Processes a peer's message. The newest report on an upstream is kept, whichever balancer received it. */
     void onPeerMessage(byte[] message, long now) {
         LoadGossip.read(message, now, (idHash, latencyRatio, inFlight, reportedAt) -> {
             UpstreamState upstream = upstreams.findByIdHash(idHash);
@@ -91,16 +101,17 @@
         });
     }
 
+    /** Replaces the known load of an upstream; readmits an ejected one whose latency is not far above the mean. */
     private void update(UpstreamState upstream, double latencyRatio, double inFlight, long reportedAt) {
-        double lateFrom = Math.max(1, 3 * upstream.locality.load.latencyRatio);
-        outliers.setEjected(upstream, upstream.ejected && latencyRatio >= lateFrom);
+        double readmissionRatio = Math.max(1, 3 * upstream.locality.load.latencyRatio);
+        outliers.setEjected(upstream, upstream.ejected && latencyRatio >= readmissionRatio);
         upstream.reportedInFlight = inFlight;
         upstream.attemptsSinceReport = 0;
         upstream.latencyRatio = latencyRatio;
         upstream.reportedAt = reportedAt;
     }
 
-    /** An attempt there has had no response for this long. */
+    /** Raises the latency of an upstream at which an attempt has had no response for the given duration. */
     void onSilence(UpstreamState upstream, long duration, long now) {
         if (enabled) {
             double increase = Math.max(0, SILENCE_FACTOR * duration / meanSlo - upstream.latencyRatio);
@@ -108,7 +119,10 @@
         }
     }
 
-    /** An attempt ended: learns the work of a call from a response that came with a report, and informs peers. */
+    /**
+     * Processes the end of an attempt: learns the work of a call from a response that contained a load report, and sends
+     * the newest reports to peers.
+     */
     void onOutcome(UpstreamState upstream, Product product, Outcome outcome, long latency, long now) {
         if (!enabled) {
             return;
@@ -120,6 +134,7 @@
         sendToPeers(now);
     }
 
+    /** Sends the newest load reports to peers that are chosen at random. */
     private void sendToPeers(long now) {
         if (!settings.limits().peerMessagesAllowed() || settings.instances() <= 1) {
             return;
