--- a/balancer/src/main/java/gorsestack/decision/Locality.java
+++ b/balancer/src/main/java/gorsestack/decision/Locality.java
@@ -1,25 +1,33 @@
 package gorsestack.decision;
 
-/** The upstreams of one zone that attempts may go to, with sums over them, so that no call walks the fleet. */
+/**
+ * The available upstreams of one zone, with sums over them, so that no call has to iterate over the whole fleet. The
+ * last locality holds the upstreams of unknown zones. Part of {@link BalancingPolicy} and used on its thread.
+ */
 final class Locality {
-    /** Responses are counted over this fraction of the slow-start time. */
-    static final double RESPONSE_WINDOWS = 4;
+    /** Number of response-counting windows in the slow-start time. */
+    static final double RESPONSE_WINDOWS_PER_SLOW_START = 4;
 
+    /** Index among the localities; 0 is the balancer's own one. */
     final int index;
+
     final AdaptiveConcurrencyLimit concurrency = new AdaptiveConcurrencyLimit();
     final LocalityLoad load = new LocalityLoad();
 
     UpstreamState[] members = {};
-    /** Where the rotation through the members goes on. */
+    /** Index of the member at which the rotation continues. */
     int rotationCursor;
 
+    /** Number of ejected members. */
     int ejectedCount;
-    /** Members that are not warming up. */
+    /** Number of members that are not warming up. */
     int warmCount;
 
+    /** Mean nominal size of the members. */
     double meanWeight;
 
     private final long slowStartTime;
+    /** Exponentially decayed number of responses as of {@link #respondedAt}. */
     private double responses;
     private long respondedAt;
 
@@ -28,7 +36,7 @@
         this.slowStartTime = slowStartTime;
     }
 
-    /** Recalculates the sums for a changed list of members. */
+    /** Replaces the members and recomputes the sums over them. */
     void setMembers(UpstreamState[] upstreams, UpstreamTable table, long now) {
         double weight = 0;
         int ejected = 0;
@@ -48,7 +56,7 @@
         return members.length - ejectedCount;
     }
 
-    /** What another process of this balancer may begin with. */
+    /** Returns the learned state with which another process of this balancer may start. */
     LearnedLocality exportLearned(long now) {
         return LearnedLocality.ofRow(
                 concurrency.limit,
@@ -58,7 +66,10 @@
                 members.length);
     }
 
-    /** Begins with what another process learned. Danger: a row of another version, or with values out of all proportion. */
+    /**
+     * Adopts the state that another process learned, with its concurrency limit scaled to this process's quota. Ignores
+     * malformed state, such as a row from another version or one with implausible values.
+     */
     void restoreLearned(LearnedLocality learned, long now, double quota) {
         if (learned.isWellFormed()) {
             concurrency.limit = Math.max(concurrency.minLimit, learned.concurrencyLimit() * quota);
@@ -74,8 +85,11 @@
         respondedAt = now;
     }
 
-    /** Responses, fading over a quarter of the slow-start time: a few calls long, following the load. */
+    /**
+     * Returns the exponentially decayed number of responses. The time constant is a quarter of the slow-start time: long
+     * enough to cover a few calls, and short enough to follow changes of the load.
+     */
     double recentResponses(long now) {
-        return responses * Math.exp((respondedAt - now) * RESPONSE_WINDOWS / Math.max(1, slowStartTime));
+        return responses * Math.exp((respondedAt - now) * RESPONSE_WINDOWS_PER_SLOW_START / Math.max(1, slowStartTime));
     }
 }
--- a/balancer/src/main/java/gorsestack/decision/LocalityRouter.java
+++ b/balancer/src/main/java/gorsestack/decision/LocalityRouter.java
@@ -1,43 +1,53 @@
 package gorsestack.decision;
 
 /**
- * Decides which locality a call tries first: the own one unless too few of its upstreams are healthy, or, with load
- * reports, one drawn by throughput and load.
+ * Decides which locality an attempt tries first. Without load reports this is the balancer's own locality unless too few
+ * of its upstreams are healthy; with load reports it is drawn at random, weighted by throughput and load. Used by
+ * {@link UpstreamSelector} on the thread of the {@link BalancingPolicy}.
  */
 final class LocalityRouter {
-    /** A locality with a smaller healthy fraction is left. */
-    private static final double MIN_HEALTHY = 0.7;
-    /** Traffic returns after as long again as the locality was unhealthy, at most this. */
-    private static final long MAX_RETURN_DELAY = 5_000_000_000L;
-    /** Weight of another locality, as leaving the own one costs. */
+    /** Minimum fraction of healthy members; traffic leaves a locality with a smaller one. */
+    private static final double MIN_HEALTHY_FRACTION = 0.7;
+    /**
+     * Maximum time in nanoseconds for which traffic stays away from a locality that has recovered. Up to this maximum,
+     * the time is as long as the locality was unhealthy.
+     */
+    private static final long MAX_RETURN_DELAY_NANOS = 5_000_000_000L;
+    /** Weight of a locality other than the balancer's own, whose weight is 1, because leaving the own one is costly. */
     private static final double OTHER_LOCALITY_WEIGHT = 0.01;
-    /** Danger: traffic swings between localities when all goes to the least loaded one. So a power of the load. */
+    /**
+     * Power of the load that divides a locality's weight. The weighted draw prevents traffic from swinging between
+     * localities, as it would if all of it went to the least loaded one.
+     */
     private static final int LOAD_EXPONENT = 3;
 
     private final Locality[] localities;
     private final SeededRandom random;
+    /** The time from which each locality has been unhealthy; 0 if traffic goes to it. */
     private final long[] unhealthySince;
+    /** The earliest time at which traffic may return to each locality. */
     private final long[] returnAt;
-    private final double[] cumulatedWeights;
+    private final double[] cumulativeWeights;
 
     LocalityRouter(Locality[] localities, SeededRandom random) {
         this.localities = localities;
         this.random = random;
         unhealthySince = new long[localities.length];
         returnAt = new long[localities.length];
-        cumulatedWeights = new double[localities.length];
+        cumulativeWeights = new double[localities.length];
     }
 
     /**
-     * The index of the first locality that traffic has not left; the own one if it has left all. Danger: after one
-     * slow response of a zone's only upstream the zone would be left for the whole maximum.
+     * Returns the index of the first locality that traffic has not left; 0, the balancer's own one, if it has left all.
+     * The time away grows with the time that the locality was unhealthy. Without this, traffic would leave a zone for
+     * the maximum time after one slow response from its only upstream.
      */
     int firstHealthy(long now) {
         for (int i = 0; i < localities.length; i++) {
             Locality locality = localities[i];
-            if (locality.healthyCount() < MIN_HEALTHY * locality.members.length) {
+            if (locality.healthyCount() < MIN_HEALTHY_FRACTION * locality.members.length) {
                 unhealthySince[i] = unhealthySince[i] == 0 ? now : unhealthySince[i];
-                returnAt[i] = now + Math.min(MAX_RETURN_DELAY, now - unhealthySince[i]);
+                returnAt[i] = now + Math.min(MAX_RETURN_DELAY_NANOS, now - unhealthySince[i]);
             } else if (now >= returnAt[i]) {
                 unhealthySince[i] = 0;
                 return i;
@@ -46,20 +56,23 @@
         return 0;
     }
 
-    /** The index of a locality drawn by throughput over the third power of the load, after refreshing all loads. */
+    /**
+     * Refreshes the load of all localities and returns the index of one that is drawn at random. The weight of a
+     * locality is its throughput divided by the third power of its load.
+     */
     int drawByLoad(long now, double meanSlo) {
         double total = 0;
         for (int i = 0; i < localities.length; i++) {
             Locality locality = localities[i];
             LocalityLoad load = locality.load;
             load.refresh(locality.members, now, meanSlo);
-            double healthy = (i == 0 ? 1 : OTHER_LOCALITY_WEIGHT) * locality.healthyCount();
-            total += healthy * load.meanThroughput / Math.pow(1 + load.meanLoad, LOAD_EXPONENT);
-            cumulatedWeights[i] = total;
+            double weight = (i == 0 ? 1 : OTHER_LOCALITY_WEIGHT) * locality.healthyCount();
+            total += weight * load.meanThroughput / Math.pow(1 + load.meanLoad, LOAD_EXPONENT);
+            cumulativeWeights[i] = total;
         }
         double drawn = random.next() * total;
         for (int i = 0; i < localities.length; i++) {
-            if (drawn < cumulatedWeights[i]) {
+            if (drawn < cumulativeWeights[i]) {
                 return i;
             }
         }
--- a/balancer/src/main/java/gorsestack/decision/OutlierDetector.java
+++ b/balancer/src/main/java/gorsestack/decision/OutlierDetector.java
@@ -2,15 +2,19 @@
 
 import java.util.ArrayDeque;
 
-/** Ejects upstreams that fail or do not respond, probes them, and readmits those that respond in time. */
+/**
+ * Ejects upstreams that fail or do not respond, selects ejected upstreams for probes, and readmits those that respond in
+ * time. Part of {@link BalancingPolicy} and used on its thread.
+ */
 final class OutlierDetector {
+    /** Number of consecutive failures at which an upstream is ejected. */
     private static final int MAX_CONSECUTIVE_FAILURES = 3;
 
     private final FleetQuota fleetQuota;
     private final UpstreamTable upstreams;
     private final SlowStart slowStart;
     private final SeededRandom random;
-    /** In the order in which they are to be probed. */
+    /** Ejected upstreams in the order in which they are considered for a probe. */
     private final ArrayDeque<UpstreamState> ejected = new ArrayDeque<>();
 
     OutlierDetector(FleetQuota fleetQuota, UpstreamTable upstreams, SlowStart slowStart, SeededRandom random) {
@@ -20,12 +24,16 @@
         this.random = random;
     }
 
-    /** Whether the outcome says anything about the upstream's health. */
+    /** Returns whether an attempt with this outcome is evidence about the health of its upstream. */
     static boolean isConclusive(Outcome outcome) {
         return outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT && outcome != Outcome.MALFORMED_RESPONSE;
     }
 
-    /** An attempt ended; late is a success whose latency is far over the objective and the locality's mean. */
+    /**
+     * Processes the outcome of an attempt.
+     *
+     * @param late whether the latency exceeds the latency objective and is far above the mean of the locality
+     */
     void onOutcome(UpstreamState upstream, Outcome outcome, boolean late, long now) {
         if (!isConclusive(outcome)) {
             return;
@@ -35,8 +43,9 @@
         }
         if (outcome == Outcome.FULFILLED) {
             upstream.consecutiveFailures = 0;
-            // Danger: an overloaded upstream responds in the end, and each response would readmit it. So no late
-            // one does; as late is relative to the mean, a cause that all share keeps none ejected.
+            // A late success readmits no upstream. Without this, each response of an overloaded upstream, which
+            // responds eventually, would readmit it. Lateness is relative to the mean, so a slowdown that all
+            // upstreams share keeps none of them ejected.
             setEjected(upstream, upstream.ejected && late);
         } else if (++upstream.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
             setEjected(upstream, true);
@@ -44,8 +53,9 @@
     }
 
     /**
-     * Ejects the upstream of an attempt that has been in flight for a while if nothing came from it since. Danger: an
-     * upstream that accepts calls and responds to none fails nothing until they time out.
+     * Ejects the upstream of an attempt that is still in flight if the upstream has responded to nothing since the
+     * attempt was sent. Without this, an upstream that accepts calls and responds to none would cause no failures until
+     * the attempts time out.
      */
     void ejectIfUnresponsive(CallAttempt attempt) {
         if (attempt.inFlight && attempt.upstream.lastResponseAt < attempt.sentAt) {
@@ -53,6 +63,7 @@
         }
     }
 
+    /** Ejects or readmits an upstream, and updates the number of ejected members of its locality. */
     void setEjected(UpstreamState upstream, boolean eject) {
         if (upstream.ejected == eject) {
             return;
@@ -67,15 +78,16 @@
         }
     }
 
-    /** The ejected upstream that was considered for a probe longest ago; null if none may be sent to. */
+    /** Returns the next ejected upstream to probe; null if none may be probed. */
     UpstreamState nextProbe(long now) {
         return nextProbe(now, 0);
     }
 
     /**
-     * The same for a call that would be rejected otherwise. Only upstreams without an attempt in flight are probed,
-     * and each is drawn by the time passed, so that all balancers together send as many probes in an interval as
-     * there are zones.
+     * Returns the ejected upstream to probe with a call that would otherwise be rejected; null if there is none. With an
+     * interval above 0, only upstreams without an attempt in flight are probed, and each is drawn with a probability
+     * that grows with the time since it was last considered, so that all balancers together send each upstream as many
+     * probes in an interval as there are zones.
      */
     UpstreamState nextProbe(long now, long interval) {
         for (int remaining = ejected.size(); remaining > 0; remaining--) {
@@ -90,8 +102,9 @@
         return null;
     }
 
+    /** Draws whether this balancer probes the upstream now. */
     private boolean drawProbe(UpstreamState upstream, long now, long interval) {
-        double passed = Math.min(1, (now - upstream.probeConsideredAt) / (double) interval);
-        return random.next() < fleetQuota.processQuota * fleetQuota.ofOwnLocality * passed;
+        double elapsedFraction = Math.min(1, (now - upstream.probeConsideredAt) / (double) interval);
+        return random.next() < fleetQuota.processQuota * fleetQuota.ofOwnLocality * elapsedFraction;
     }
 }
--- a/balancer/src/main/java/gorsestack/decision/SlowStart.java
+++ b/balancer/src/main/java/gorsestack/decision/SlowStart.java
@@ -1,16 +1,20 @@
 package gorsestack.decision;
 
 /**
- * Rule 4: what all balancers together send to an upstream that started lately stays within its allowance, which grows
- * with its age. No balancer sees what the others send, so each draws its permits at random by the time that has
- * passed, and the sum over the fleet comes at random as well.
+ * Enforces rule 4: the attempts that all balancers together send to an upstream that started recently stay within its
+ * allowance, which grows with its age. No balancer sees what the others send, so each draws its permits at random, with
+ * a probability that grows with the time since its last draw; the sum over the fleet is random as well. Used by
+ * {@link UpstreamSelector} and {@link OutlierDetector} on the thread of the {@link BalancingPolicy}.
  */
 final class SlowStart {
     private static final double NANOS_PER_SECOND = 1e9;
-    /** Of the allowed multiple of its capacity; the rest is a margin for the random sum over all balancers. */
-    private static final double TARGET_PER_ALLOWED_MULTIPLE = 0.3;
-    /** Permits are drawn for at most this many spans of the allowance. */
-    private static final int MAX_SPANS_DRAWN = 2;
+    /**
+     * Fraction of the overload multiple that all balancers together send on average. The rest is a margin for the random
+     * variation of the sum over all balancers.
+     */
+    private static final double TARGET_PER_OVERLOAD_MULTIPLE = 0.3;
+    /** Maximum time that counts in a draw, in overload windows; an unused permit expires after it without another draw. */
+    private static final int MAX_WINDOWS_DRAWN = 2;
 
     private final Settings.Rules rules;
     private final FleetQuota fleetQuota;
@@ -31,26 +35,30 @@
         this.random = random;
     }
 
-    /** Whether this balancer may send an attempt there now; it draws only while the upstream is warming up. */
+    /**
+     * Returns whether this balancer may send an attempt to the upstream now. Draws a permit at random only while the
+     * upstream is warming up.
+     */
     boolean permits(UpstreamState upstream, long now) {
         if (!upstreams.isWarmingUp(upstream, now, rules.slowStartTime())) {
             return true;
         }
-        double perSecond = permitsPerSecond(upstream, now);
-        // Danger: permits that all balancers saved up go out together when a zone is lost. So only the last
-        // spans count.
-        long sinceDraw = now - upstream.slowStartDrawnAt;
-        long drawnFor = Math.min(sinceDraw, MAX_SPANS_DRAWN * rules.overloadWindow());
-        upstream.slowStartPermit = (upstream.slowStartPermit && drawnFor == sinceDraw)
-                || random.next() < perSecond * drawnFor / NANOS_PER_SECOND;
+        double permitRate = permitsPerSecond(upstream, now);
+        // Only the most recent windows count. Without this limit, the permits that all balancers have accumulated
+        // would be used at the same time when a zone is lost.
+        long sinceLastDraw = now - upstream.slowStartDrawnAt;
+        long countedTime = Math.min(sinceLastDraw, MAX_WINDOWS_DRAWN * rules.overloadWindow());
+        upstream.slowStartPermit = (upstream.slowStartPermit && countedTime == sinceLastDraw)
+                || random.next() < permitRate * countedTime / NANOS_PER_SECOND;
         upstream.slowStartDrawnAt = now;
         return upstream.slowStartPermit;
     }
 
     /**
-     * As often as a warm upstream of its locality responds to this balancer (or of all localities if that is more, as
-     * a locality may have none that is warm), times the fraction of its capacity that it has by now. With nothing
-     * learnt, one attempt a second from all balancers together.
+     * Returns the rate of permits for an upstream that is warming up. It is the rate at which a warm upstream of the same
+     * locality responds to this balancer, or a warm upstream of any locality if that is higher, as a locality may have
+     * no warm upstream; this is multiplied by the fraction of its capacity that the upstream has reached. If nothing has
+     * been learned, all balancers together send one attempt a second.
      */
     private double permitsPerSecond(UpstreamState upstream, long now) {
         double responses = 0;
@@ -63,10 +71,10 @@
         double perWarmUpstream =
                 Math.max(responses / Math.max(1, warm), own.recentResponses(now) / Math.max(1, own.warmCount));
         double warmRate = Math.max(
-                Locality.RESPONSE_WINDOWS * NANOS_PER_SECOND * perWarmUpstream / rules.slowStartTime(),
+                Locality.RESPONSE_WINDOWS_PER_SLOW_START * NANOS_PER_SECOND * perWarmUpstream / rules.slowStartTime(),
                 fleetQuota.processQuota / fleetQuota.instances);
         double age = (now - upstreams.startedAt(upstream)) / (double) rules.slowStartTime();
         double capacityFraction = rules.initialCapacityFraction() + (1 - rules.initialCapacityFraction()) * age;
-        return warmRate * capacityFraction * TARGET_PER_ALLOWED_MULTIPLE * rules.overloadMultiple();
+        return warmRate * capacityFraction * TARGET_PER_OVERLOAD_MULTIPLE * rules.overloadMultiple();
     }
 }
--- a/balancer/src/main/java/gorsestack/decision/UpstreamClass.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamClass.java
@@ -1,16 +1,20 @@
 package gorsestack.decision;
 
-/** Upstreams of the same locality, type and nominal size, of which similar latencies are expected. */
+/**
+ * Upstreams of the same locality, type and nominal size, which are expected to have similar latencies. Used by
+ * {@link LatencyEstimator} and {@link UpstreamSelector} on the thread of the {@link BalancingPolicy}.
+ */
 final class UpstreamClass {
-    /** What makes upstreams alike. */
+    /** The properties that the upstreams of a class have in common. */
     record Key(int locality, String kind, double weight) {}
 
-    /** Moving mean over this many attempts. */
+    /** Number of attempts that the moving mean covers. */
     private static final int WINDOW = 20;
 
-    /** Typical latency ratio of its upstreams; 0 if unknown. */
+    /** Moving mean of the latency ratio of recent attempts at upstreams of the class; 0 if unknown. */
     double typicalLatencyRatio;
 
+    /** Adds the latency ratio of an attempt to the moving mean. */
     void onLatency(double latencyRatio) {
         typicalLatencyRatio += (latencyRatio - typicalLatencyRatio) / (typicalLatencyRatio == 0 ? 1 : WINDOW);
     }
