--- a/balancer/src/main/java/gorsestack/decision/UpstreamSelector.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamSelector.java
@@ -1,15 +1,23 @@
 package gorsestack.decision;
 
 /**
- * Picks an attempt's upstream by weighted rotation within the localities, in the order that {@link LocalityRouter}
- * starts. When none is found it tries again with one wish less, never with one of the rules less.
+ * Selects the upstream of each attempt by weighted round-robin within the localities, beginning with the locality that
+ * {@link LocalityRouter} chooses. When no upstream is eligible, it searches again with one preference fewer; the rules
+ * for repeated requests and slow start always hold. Used by {@link BalancingPolicy} on its thread.
  */
 final class UpstreamSelector {
-    /** One pass over the localities; each gives up one wish more than the one before. */
+    /** A pass over the localities. Each pass drops one more preference than the one before it. */
     private enum Pass {
+        /** Respects all preferences. */
         PREFERRED(false, false, false),
+        /**
+         * Allows all members of a locality, whatever they have in flight; behind the first tier, also the members of a
+         * locality that does not admit the call.
+         */
         ANY_LOAD(true, false, false),
+        /** Also allows an upstream that the call has already tried, if none of the call's attempts is in flight. */
         SAME_UPSTREAM_AGAIN(true, true, false),
+        /** Also allows ejected upstreams. */
         EJECTED_TOO(true, true, true);
 
         final boolean ignoresLoad;
@@ -26,25 +34,30 @@
     private static final Pass[] ALL_PASSES = Pass.values();
     private static final Pass[] HEALTHY_PASSES = {Pass.PREFERRED, Pass.ANY_LOAD, Pass.SAME_UPSTREAM_AGAIN};
 
-    /** The fraction of first attempts that probe an ejected upstream. */
+    /** Fraction of first attempts that probe an ejected upstream. */
     private static final double PROBE_FRACTION = 1 / 50.0;
-    /** For a call that would be rejected otherwise, a probe of each ejected upstream in so many objectives. */
+    /** Interval, in latency objectives, at which calls that would otherwise be rejected probe each ejected upstream. */
     private static final int PROBE_INTERVAL_SLOS = 2;
-    /** Upstreams that are tried first where load reports are used, and the recent calls for one more. */
+    /** Minimum number of upstreams that are tried first where load reports are used. */
     private static final int MIN_SUBSET = 3;
 
+    /** Number of recent calls for which the subset of upstreams that are tried first gets one more member. */
     private static final int CALLS_PER_SUBSET_MEMBER = 18;
-    /** Recent calls fade over six seconds. */
+    /** Time constant of the decay of recent calls, in nanoseconds. */
     private static final double RECENT_CALLS_WINDOW = 6e9;
-    /** An upstream with more in flight than a quarter above the mean, and half a call, is passed over at first. */
-    private static final double CROWDED_PER_MEAN = 1.25;
+    /**
+     * Maximum ratio of an upstream's attempts in flight to the mean, to which {@link #MAX_IN_FLIGHT_OFFSET} attempts are
+     * added. The first pass skips upstreams with more attempts in flight.
+     */
+    private static final double MAX_IN_FLIGHT_PER_MEAN = 1.25;
 
-    private static final double CROWDED_OFFSET = 0.5;
-    /** Own attempts say little about an upstream's speed, so the estimate is bounded. */
+    /** Number of attempts in flight that the first pass allows in addition. */
+    private static final double MAX_IN_FLIGHT_OFFSET = 0.5;
+    /** Bounds of a speed that is estimated from this balancer's own attempts, which are weak evidence. */
     private static final double MIN_SPEED = 0.25;
 
     private static final double MAX_SPEED = 2;
-    /** Reports say more. */
+    /** Bounds of a speed that is estimated from load reports, which are stronger evidence. */
     private static final double MIN_REPORTED_SPEED = 0.02;
 
     private static final double MAX_REPORTED_SPEED = 3;
@@ -59,6 +72,7 @@
     private final SeededRandom random;
     private final boolean usesReports;
     private final double meanSlo;
+    /** Exponentially decayed number of calls as of {@link #calledAt}. */
     private double recentCalls;
     private long calledAt;
 
@@ -83,22 +97,22 @@
         usesReports = settings.usesReports();
     }
 
-    /** Counts a call of a client. */
+    /** Counts a call from a client. */
     void onCall(long now) {
         recentCalls = recentCalls * Math.exp((calledAt - now) / RECENT_CALLS_WINDOW) + 1;
         calledAt = now;
     }
 
-    /** Calls of the last six seconds, fading. */
+    /** Returns the number of calls, decayed exponentially with a time constant of six seconds, as of the last call. */
     double recentCalls() {
         return recentCalls;
     }
 
-    /** The upstream of the call's next attempt; null if there is none. */
+    /** Returns the upstream for the call's next attempt; null if no upstream is eligible. */
     UpstreamState select(CallState call, long now) {
         int first = usesReports ? router.drawByLoad(now, meanSlo) : router.firstHealthy(now);
         admission.drawForAttempt();
-        // Never a call that has this one attempt only.
+        // A call that may have only one attempt is never used as a probe.
         boolean mayProbe = call.attemptCount == 0 && call.attemptLimit > 1;
         UpstreamState probe = mayProbe && random.next() < PROBE_FRACTION ? outliers.nextProbe(now) : null;
         if (probe != null) {
@@ -113,13 +127,15 @@
                 }
             }
         }
-        // Danger: where calls are few so are probes, and what failed for a moment would stay ejected for seconds.
+        // Without this, a fleet that receives few calls would send few probes, and an upstream that failed briefly
+        // would stay ejected for seconds.
         return mayProbe ? outliers.nextProbe(now, PROBE_INTERVAL_SLOS * call.product.slo()) : null;
     }
 
     /**
-     * Danger: with all limits reached, a lost zone's upstreams have capacity, and attempts beyond the limits fail there.
-     * The first tier tries ejected ones (but for probes) only when none is healthy.
+     * Returns the passes to make. Except for probes, the first tier tries ejected upstreams only if no upstream is
+     * healthy. Without this, attempts beyond the limits would go to the upstreams of a lost zone, which have capacity
+     * when all other limits are reached, and would fail there.
      */
     private Pass[] passes() {
         if (settings.tier() != 0) {
@@ -134,9 +150,10 @@
     }
 
     /**
-     * How many members take part in the rotation; none where the locality does not admit the call. Danger: no balancer
-     * sees the queues that others make. With reports a few go first, in this balancer's own order, and one more for
-     * each three calls a second: each is met again within seconds, with a new report.
+     * Returns how many members take part in the rotation; 0 if the locality does not admit the call. No balancer sees
+     * the queues that other balancers cause. Where load reports are used, the first pass is therefore limited to a small
+     * subset in this balancer's own order, with one more member for every three calls a second, so that each member gets
+     * another attempt, and returns a new report, within seconds.
      */
     private int candidates(Locality locality, Pass pass, CallState call, long now) {
         boolean limited = !pass.ignoresLoad || settings.tier() == 0;
@@ -150,18 +167,23 @@
         return Math.min(subset, locality.members.length);
     }
 
-    /** Turns in proportion to speed: the fastest take each, others let some pass. */
+    /**
+     * Selects the next eligible member, so that members take attempts in proportion to their speed; null if none is
+     * eligible. Each visit adds half the member's speed to its credit, and a credit of 1 pays for an attempt: the
+     * fastest members take an attempt at every visit, the others skip some visits.
+     */
     private UpstreamState rotate(Locality locality, int candidates, Pass pass, CallState call, long now) {
-        CallAttempt firstExecuted = call.firstPossiblyExecutedAttempt();
-        double crowded = CROWDED_PER_MEAN * locality.concurrency.inFlight / Math.max(1, candidates) + CROWDED_OFFSET;
+        CallAttempt firstPossiblyExecuted = call.firstPossiblyExecutedAttempt();
+        double maxInFlight =
+                MAX_IN_FLIGHT_PER_MEAN * locality.concurrency.inFlight / Math.max(1, candidates) + MAX_IN_FLIGHT_OFFSET;
         boolean anyEligible = false;
         for (int k = 0; k < candidates || anyEligible; k++) {
             UpstreamState upstream = locality.members[(locality.rotationCursor + k) % candidates];
             double speed = speed(upstream);
-            if ((pass.ignoresLoad || upstream.inFlight <= crowded * speed)
+            if ((pass.ignoresLoad || upstream.inFlight <= maxInFlight * speed)
                     && (pass.allowsEjected || !upstream.ejected)
                     && mayVisit(upstream, pass, call)
-                    && RepeatSafety.isSafeAt(call.product, firstExecuted, upstream)
+                    && RepeatSafety.isSafeAt(call.product, firstPossiblyExecuted, upstream)
                     && slowStart.permits(upstream, now)) {
                 anyEligible = true;
                 upstream.rotationCredit += speed / 2;
@@ -175,47 +197,54 @@
         return null;
     }
 
-    /** With none in flight an upstream that failed is tried once more: a deduplicated call may have no other. */
+    /**
+     * Returns whether this pass allows the upstream for the call. An upstream that failed the call is tried again if no
+     * attempt is in flight, because a deduplicated call may have no other upstream.
+     */
     private static boolean mayVisit(UpstreamState upstream, Pass pass, CallState call) {
         return pass.allowsEjected
                 || (pass.allowsSameUpstream && call.attemptsInFlight == 0)
                 || !call.hasTried(upstream);
     }
 
-    /** How much more than its locality's mean an upstream can do. */
+    /** Returns the upstream's estimated speed relative to the mean of its locality. */
     private double speed(UpstreamState upstream) {
         return usesReports ? reportedSpeed(upstream) : observedSpeed(upstream);
     }
 
+    /** Returns the relative speed by load reports and the attempts since the last one; 1 if nothing is known. */
     private static double reportedSpeed(UpstreamState upstream) {
         if (upstream.latencyRatio == 0) {
             return 1;
         }
-        LocalityLoad mean = upstream.locality.load;
+        LocalityLoad localityLoad = upstream.locality.load;
         double load = (upstream.reportedInFlight + upstream.attemptsSinceReport) / upstream.size();
-        double speed = upstream.throughput() / mean.meanThroughput * (mean.meanLoad + 1) / (load + 1);
+        double speed = upstream.throughput() / localityLoad.meanThroughput * (localityLoad.meanLoad + 1) / (load + 1);
         return Math.max(MIN_REPORTED_SPEED, Math.min(MAX_REPORTED_SPEED, speed));
     }
 
     /**
-     * By its nominal size, where the settings have one, and by its latency relative to its class (else its locality).
-     * Danger: with as many calls as a fast one, a slow upstream is late with all of them, and one of many balancers
-     * sees too few to tell. The typical latency of its class serves until it does, and counts more where one of many
-     * balancers cannot see crowds by its own attempts in flight.
+     * Returns the relative speed by the upstream's nominal size, where the settings have one, and by its latency relative
+     * to its class, or to its locality where there are no nominal sizes. Without this, a slow upstream would get as many
+     * calls as a fast one and respond late to all of them.
+     *
+     * <p>One of many balancers makes too few attempts to measure an upstream's latency. The typical latency of the class
+     * is used until the latency of the upstream is known. It also counts more the smaller this balancer's part of the
+     * locality is, because the balancer's own attempts in flight then do not show where those of the others queue.
      */
     private double observedSpeed(UpstreamState upstream) {
         Locality locality = upstream.locality;
-        double typical = upstream.upstreamClass.typicalLatencyRatio;
+        double typicalLatency = upstream.upstreamClass.typicalLatencyRatio;
         double meanLatency = locality.concurrency.latencyRatio;
-        double expected = settings.nominalWeights() ? typical : meanLatency;
-        double own = upstream.latencyRatio == 0 ? typical : upstream.latencyRatio;
-        // Danger: a list whose sizes are all 0; an upstream without a part would never come to its turn.
+        double expectedLatency = settings.nominalWeights() ? typicalLatency : meanLatency;
+        double ownLatency = upstream.latencyRatio == 0 ? typicalLatency : upstream.latencyRatio;
+        // Guards against a list in which all sizes are 0, with which no upstream would ever be selected.
         double size = settings.nominalWeights() && locality.meanWeight > 0
                 ? upstream.endpoint.weight() / locality.meanWeight
                 : 1;
-        double relative = own == 0 || expected == 0
+        double relativeSpeed = ownLatency == 0 || expectedLatency == 0
                 ? 1
-                : expected / own * Math.pow(meanLatency / typical, 1 - fleetQuota.ofOwnLocality);
-        return Math.max(MIN_SPEED, Math.min(MAX_SPEED, size * relative));
+                : expectedLatency / ownLatency * Math.pow(meanLatency / typicalLatency, 1 - fleetQuota.ofOwnLocality);
+        return Math.max(MIN_SPEED, Math.min(MAX_SPEED, size * relativeSpeed));
     }
 }
--- a/balancer/src/main/java/gorsestack/decision/UpstreamState.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamState.java
@@ -1,67 +1,74 @@
 package gorsestack.decision;
 
 /**
- * What this balancer knows about one upstream. A slot of {@link UpstreamTable}: once nothing refers to an upstream
- * that was removed, another one takes its slot. Latencies are ratios to the latency objective.
+ * The state that this balancer keeps about one upstream. It is a slot of {@link UpstreamTable}: once no call refers to
+ * an upstream that was removed, another upstream may take its slot. Latencies are ratios to the latency objective. Used
+ * by the mechanisms of {@link BalancingPolicy} on its thread.
  */
 final class UpstreamState {
-    /** The slot's number, which gives upstreams a stable order. */
+    /** Number of the slot, which gives upstreams a stable order. */
     final int index;
 
     Endpoint endpoint;
     Locality locality;
     UpstreamClass upstreamClass;
-    /** Stands for the id in peers' messages and in the order of a balancer's subset. */
+    /** Hash of the id, which identifies the upstream in messages between peers and orders a balancer's subset. */
     int idHash;
-    /** Calls with an attempt here: where the first one went decides where a repeat may go. */
+    /**
+     * Number of calls that have an attempt at this upstream. They refer to it because the upstream of a call's first
+     * attempt decides where a repeat may go.
+     */
     int referencingCalls;
 
-    /** This balancer's own attempts that are in flight. */
+    /** Number of this balancer's own attempts that are in flight to the upstream. */
     int inFlight;
-    /** Collects a part at each visit in rotation; from 1 on the upstream takes an attempt. */
+    /** Credit in the weighted round-robin, which grows at each visit; an attempt costs 1. */
     double rotationCredit;
     /** Mean latency ratio of recent attempts; 0 if unknown. */
     double latencyRatio;
-    /** When it last responded to anything, with success or an error. */
+    /** Time at which the upstream last responded to an attempt, with success or an error, such as a refused connection. */
     long lastResponseAt;
 
     int consecutiveFailures;
     boolean ejected;
-    /** When, while ejected, it was last considered for a probe. */
+    /** Time at which the upstream was last considered for a probe while ejected. */
     long probeConsideredAt;
 
-    /** When its newest load report was received, by this balancer or by the peer that passed it on; 0 if never. */
+    /** Time at which the newest load report was received, by this balancer or by a peer that passed it on; 0 if never. */
     long reportedAt;
-    /** Calls in flight there, from all balancers, as reported. */
+    /** Number of calls in flight at the upstream, from all balancers, according to its load reports. */
     double reportedInFlight;
-    /** This balancer's attempts since that report. */
+    /** Number of this balancer's attempts since the newest load report. */
     int attemptsSinceReport;
 
-    /** While warming up: the slow-start draw allowed an attempt that has not been sent yet. */
+    /** Whether the last slow-start draw permitted an attempt that has not been sent yet; used while warming up. */
     boolean slowStartPermit;
-    /** While warming up: when the slow-start draw was last made. */
+    /** Time of the last slow-start draw; used while warming up. */
     long slowStartDrawnAt;
 
     UpstreamState(int index) {
         this.index = index;
     }
 
-    /** Its nominal size; never 0, as it divides. */
+    /** Returns the nominal size, at least 0.1 because it is used as a divisor. */
     double size() {
         return Math.max(0.1, endpoint.weight());
     }
 
-    /** Its throughput by Little's law: calls in flight over their latency. A queue lengthens both alike. */
+    /**
+     * Returns the throughput by Little's law: the calls in flight divided by their latency. A queue raises both in the
+     * same proportion.
+     */
     double throughput() {
         return Math.max(size(), reportedInFlight + 1) / Math.max(1e-3, latencyRatio);
     }
 
-    /** Nothing learnt before a restart holds after it. */
+    /** Resets what was learned before a restart, as it does not apply afterwards. */
     void resetAfterRestart(long now) {
         consecutiveFailures = 0;
         latencyRatio = 0;
         reportedAt = 0;
-        // Rule 4. Danger: a permit kept over a restart gives a burst at the start; permits come with time alone.
+        // Rule 4: permits accrue only with time. Without this, a permit kept across a restart would allow a burst.
         slowStartPermit = false;
         slowStartDrawnAt = now;
     }
--- a/balancer/src/main/java/gorsestack/decision/UpstreamTable.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamTable.java
@@ -12,15 +12,19 @@
 import java.util.zip.CRC32;
 
 /**
- * The upstreams that this balancer knows, in slots. An id keeps its slot until discovery removes it and no call refers
- * to an attempt there. Danger: ids are ever new, and state kept for old ones would exhaust the memory.
+ * The upstreams that this balancer knows, in slots. An id keeps its slot until discovery has removed it and no call
+ * refers to an attempt at it. The slots are reused because new upstreams have new ids; without this, the state of old
+ * ids would exhaust the memory. Part of {@link BalancingPolicy} and used on its thread.
  */
 final class UpstreamTable {
-    /** In place of a time of return: out of service until an operator says otherwise. */
+    /**
+     * Marks maintenance that has not ended, in place of the time at which it ended: the upstream stays out of service
+     * until an operator returns it to service.
+     */
     static final long NOT_ENDED = Long.MAX_VALUE;
 
     private static final int ID_HASH_MASK = 0xffffff;
-    /** Stands for all upstreams whose ids have the same hash. */
+    /** Value in {@link #byIdHash} for a hash that the ids of several upstreams have. */
     private static final UpstreamState AMBIGUOUS = new UpstreamState(-1);
 
     private final List<UpstreamState> slots = new ArrayList<>();
@@ -28,22 +32,25 @@
     private final Map<String, UpstreamState> byId = new HashMap<>();
     private final Map<Integer, UpstreamState> byIdHash = new HashMap<>();
     private final Map<UpstreamClass.Key, UpstreamClass> classes = new HashMap<>();
-    /** Operators' maintenance entries by id, so that neither discovery nor a new slot lifts them: when they ended, or NOT_ENDED. */
+    /**
+     * The time at which maintenance ended, or {@link #NOT_ENDED}, by id. It is kept by id so that neither an update from
+     * discovery nor a new slot ends the maintenance.
+     */
     private final Map<String, Long> maintenance = new HashMap<>();
-    /** Removed by discovery, by slot; they keep it for as long as a call refers to them. */
+    /** Upstreams that discovery has removed, in the order of their slots, which they keep while a call refers to them. */
     private final TreeSet<UpstreamState> removed = new TreeSet<>(Comparator.comparingInt(upstream -> upstream.index));
 
-    /** All slots, those of removed upstreams included. */
+    /** Returns all slots, including those of removed upstreams. */
     List<UpstreamState> slots() {
         return slots;
     }
 
-    /** The upstream with this id; null if it is not known. */
+    /** Returns the upstream with this id; null if it is unknown. */
     UpstreamState find(String id) {
         return byId.get(id);
     }
 
-    /** The upstream with this id; a new one gets a free slot. */
+    /** Returns the upstream with this id; assigns a free slot to a new one. */
     UpstreamState findOrAdd(String id) {
         UpstreamState known = byId.get(id);
         if (known != null) {
@@ -54,7 +61,7 @@
         CRC32 crc = new CRC32();
         crc.update(id.getBytes(StandardCharsets.UTF_8));
         added.idHash = (int) crc.getValue() & ID_HASH_MASK;
-        // Danger: reports about one of two ids with the same hash would be taken for the other's.
+        // Prevents reports about one of two ids with the same hash from being attributed to the other.
         byIdHash.merge(added.idHash, added, (one, other) -> AMBIGUOUS);
         return added;
     }
@@ -65,7 +72,7 @@
         return slot;
     }
 
-    /** Takes over what discovery now says about an upstream. */
+    /** Replaces the endpoint of an upstream with the current one from discovery. */
     void update(UpstreamState upstream, Endpoint endpoint) {
         upstream.endpoint = endpoint;
         if (endpoint.state() == EndpointState.GONE) {
@@ -75,67 +82,74 @@
         }
     }
 
-    /** The class of upstreams alike. */
+    /** Returns the class of the upstreams with this locality, type and nominal size; creates it if it does not exist. */
     UpstreamClass classOf(int locality, String kind, double weight) {
         return classes.computeIfAbsent(new UpstreamClass.Key(locality, kind, weight), unknown -> new UpstreamClass());
     }
 
+    /** Records an operator's maintenance order: when the maintenance ended, or {@link #NOT_ENDED}. */
     void setMaintenance(String id, long endedAt) {
         maintenance.put(id, endedAt);
     }
 
-    /** When an operator returned it to service, or NOT_ENDED; 0 without an operator's entry. */
+    /** Returns when an operator returned the upstream to service, or {@link #NOT_ENDED}; 0 if there is no order. */
     private long maintenanceEndedAt(UpstreamState upstream) {
         return maintenance.isEmpty() ? 0 : maintenance.getOrDefault(upstream.endpoint.id(), 0L);
     }
 
-    /** Whether attempts may go there: discovery lists it as ready and no operator has taken it out of service. */
+    /**
+     * Returns whether attempts may go to the upstream: discovery lists it as ready and no operator has taken it out of
+     * service.
+     */
     boolean isAvailable(UpstreamState upstream) {
         return upstream.endpoint.state() == EndpointState.READY && maintenanceEndedAt(upstream) != NOT_ENDED;
     }
 
-    /** When it last started, or was returned to service by an operator; 0 if long ago. */
+    /** Returns when the upstream last started or was returned to service by an operator; 0 if that was long ago. */
     long startedAt(UpstreamState upstream) {
         long endedAt = maintenanceEndedAt(upstream);
         long startedAt = upstream.endpoint.startedAt();
         return endedAt == NOT_ENDED ? startedAt : Math.max(startedAt, endedAt);
     }
 
-    /** Whether it started less than the slow-start time ago. */
+    /** Returns whether the upstream started less than the slow-start time ago. */
     boolean isWarmingUp(UpstreamState upstream, long now, long slowStartTime) {
         long startedAt = startedAt(upstream);
         return startedAt > 0 && now - startedAt < slowStartTime;
     }
 
-    /** The upstream whose id has this hash; null if there is none or more than one. */
+    /** Returns the upstream whose id has this hash; null if there is none or more than one. */
     UpstreamState findByIdHash(int idHash) {
         UpstreamState found = byIdHash.get(idHash);
         return found == AMBIGUOUS ? null : found;
     }
 
-    /** An upstream's rank in a balancer's own order of them, which differs from that of other balancers. */
+    /**
+     * Returns the rank of an upstream in a balancer's own order of the upstreams, which differs from balancer to
+     * balancer.
+     */
     static int subsetRank(UpstreamState upstream, int balancer) {
         return upstream.idHash * (2 * balancer + 1) & ID_HASH_MASK;
     }
 
-    /** Those with the newest load reports, the newest first, at most so many. */
+    /** Returns up to {@code limit} upstreams with the newest load reports, the newest first. */
     UpstreamState[] newestReported(int limit) {
         UpstreamState[] newest = new UpstreamState[limit];
         int count = 0;
         for (int i = 0; i < slots.size(); i++) {
             UpstreamState upstream = slots.get(i);
             if (upstream.reportedAt > 0 && (count < limit || upstream.reportedAt > newest[count - 1].reportedAt)) {
-                int place = count < limit ? count++ : count - 1;
-                for (; place > 0 && newest[place - 1].reportedAt < upstream.reportedAt; place--) {
-                    newest[place] = newest[place - 1];
+                int position = count < limit ? count++ : count - 1;
+                for (; position > 0 && newest[position - 1].reportedAt < upstream.reportedAt; position--) {
+                    newest[position] = newest[position - 1];
                 }
-                newest[place] = upstream;
+                newest[position] = upstream;
             }
         }
         return Arrays.copyOf(newest, count);
     }
 
-    /** Removed upstreams that no call refers to, in the order of their slots. */
+    /** Returns the removed upstreams that no call refers to, in the order of their slots. */
     List<UpstreamState> releasable() {
         if (removed.isEmpty()) {
             return List.of();
@@ -149,13 +163,14 @@
         return releasable;
     }
 
+    /** Returns whether the upstream has been removed, no call refers to it, and its slot has not been freed yet. */
     boolean isReleasable(UpstreamState upstream) {
         return upstream.endpoint.state() == EndpointState.GONE
                 && upstream.referencingCalls == 0
                 && byId.get(upstream.endpoint.id()) == upstream;
     }
 
-    /** Frees the slot for another id. */
+    /** Frees the upstream's slot for another id. */
     void release(UpstreamState upstream) {
         removed.remove(upstream);
         byId.remove(upstream.endpoint.id());
