--- a/balancer/src/test/java/gorsestack/decision/EndpointWatchScheduleTest.java
+++ b/balancer/src/test/java/gorsestack/decision/EndpointWatchScheduleTest.java
@@ -8,18 +8,18 @@
 import gorsestack.decision.Settings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** When the endpoint list is watched. */
+/** Tests of {@link EndpointWatchSchedule}. */
 class EndpointWatchScheduleTest {
-    /** Danger: without the list a drain goes unnoticed, and retries without a pause overload discovery. */
+    /** Without a retry a drain would go unnoticed; retries without a delay would overload discovery. */
     @Test
-    void retriesTheWatchAfterAFailureButNotAtOnce() {
-        PolicySimulation play = six(PolicySimulation.settings(10, 0, 2, true, Scope.ALL), 1);
-        play.runTo(play.now + 3000 * MS);
-        assertEquals(1, play.watches);
-        play.tell(Kind.FAILED);
-        play.runTo(play.now + 1000 * MS);
-        assertEquals(1, play.watches);
-        play.runTo(play.now + 8000 * MS);
-        assertEquals(2, play.watches);
+    void retriesFailedWatchAfterDelay() {
+        PolicySimulation simulation = six(PolicySimulation.settings(10, 0, 2, true, Scope.ALL), 1);
+        simulation.runTo(simulation.now + 3000 * MS);
+        assertEquals(1, simulation.startedWatches);
+        simulation.tell(Kind.FAILED);
+        simulation.runTo(simulation.now + 1000 * MS);
+        assertEquals(1, simulation.startedWatches);
+        simulation.runTo(simulation.now + 8000 * MS);
+        assertEquals(2, simulation.startedWatches);
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -16,41 +16,48 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** One balancer's surroundings, and beside it a slow and plain model of the rules that tells what is allowed. */
+/**
+ * Simulates the environment of one balancer's policy: time, discovery, upstreams, clients and peers. It checks every
+ * action of the policy against a simple model of the rules and records violations, which {@link #settle} reports.
+ */
 final class PolicySimulation implements PolicyActions {
     static final long MS = 1_000_000;
 
+    /** An attempt that the policy has started. */
     static final class Attempt {
         String upstream;
-        long at;
-        Outcome ended;
+        long sentAt;
+        /** How the attempt ended; null while it is in flight. */
+        Outcome outcome;
         boolean cancelled;
     }
 
+    /** A call of a client, with the response that it got and the attempts that were made for it. */
     static final class ApiCall {
         String id, answer;
         Product product;
-        long from, until, answeredAt, advice;
+        long from, deadline, answeredAt, advice;
         boolean bound;
         List<Attempt> attempts = new ArrayList<>();
     }
 
-    private record Due(long at, long order, Runnable what) {}
+    /** An action that runs at a time; actions of the same time run in the order of their sequence numbers. */
+    private record ScheduledAction(long time, long sequence, Runnable action) {}
 
     final Map<String, ApiCall> calls = new LinkedHashMap<>();
-    final Map<String, Endpoint> list = new LinkedHashMap<>();
-    final Set<String> out = new HashSet<>();
-    final List<String> wrongs = new ArrayList<>();
+    final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
+    final Set<String> inMaintenance = new HashSet<>();
+    final List<String> violations = new ArrayList<>();
     final SplittableRandom random;
     final Settings settings;
     final BalancingPolicy policy;
     long now = 1000 * MS;
-    int watches;
+    int startedWatches;
     int closes;
     final List<byte[]> told = new ArrayList<>();
-    private final PriorityQueue<Due> dues =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private long order;
+    private final PriorityQueue<ScheduledAction> scheduledActions = new PriorityQueue<>(
+            (a, b) -> a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.sequence, b.sequence));
+    private long nextSequence;
 
     PolicySimulation(Settings settings, long seed) {
         this.settings = settings;
@@ -58,28 +65,33 @@
         policy = new BalancingPolicy(settings, seed, now, this);
     }
 
-    /** Six upstreams in two zones. */
+    /** Creates a simulation with six upstreams in two zones. */
     static PolicySimulation six(Settings settings, long seed) {
-        PolicySimulation play = new PolicySimulation(settings, seed);
+        PolicySimulation simulation = new PolicySimulation(settings, seed);
         Endpoint[] entries = new Endpoint[6];
         for (int i = 0; i < 6; i++) {
             entries[i] = entry("u" + i, EndpointState.READY, 0, i / 2, i < 3 ? "a" : "b");
         }
-        play.tell(EndpointUpdate.Kind.CACHED, entries);
-        return play;
+        simulation.tell(EndpointUpdate.Kind.CACHED, entries);
+        return simulation;
     }
 
-    /** The calls that wait for a response while so many come, one each gap, and each takes that long. */
-    static IntSummaryStatistics heldDuring(PolicySimulation play, int calls, long gap, long answer) {
-        IntSummaryStatistics held = new IntSummaryStatistics();
+    /**
+     * Makes calls at a fixed interval to upstreams that respond after a fixed latency.
+     *
+     * @return the number of calls that wait for a response, sampled after each call
+     */
+    static IntSummaryStatistics heldDuring(PolicySimulation simulation, int calls, long interval, long latency) {
+        IntSummaryStatistics pending = new IntSummaryStatistics();
         for (int i = 0; i < calls; i++) {
-            play.call("c" + i, "once", 1000 * MS);
-            play.fulfilLater("c" + i, answer);
-            play.runTo(play.now + gap);
-            held.accept((int)
-                    play.calls.values().stream().filter(c -> c.answer == null).count());
+            simulation.call("c" + i, "once", 1000 * MS);
+            simulation.fulfilLater("c" + i, latency);
+            simulation.runTo(simulation.now + interval);
+            pending.accept((int) simulation.calls.values().stream()
+                    .filter(call -> call.answer == null)
+                    .count());
         }
-        return held;
+        return pending;
     }
 
     static Product product(String name, Repeat repeat, Scope scope) {
@@ -87,7 +99,7 @@
                 name, repeat, scope, 300 * MS, 400 * MS, 1000 * MS, repeat == Repeat.NON_IDEMPOTENT ? 3 : 1, 0.5);
     }
 
-    static Settings settings(int instances, int tier, int mostAttempts, boolean ask, Scope scope) {
+    static Settings settings(int instances, int tier, int maxAttempts, boolean watchesEndpoints, Scope scope) {
         return new Settings(
                 0,
                 instances,
@@ -98,9 +110,9 @@
                         product("read", Repeat.IDEMPOTENT, Scope.ALL),
                         product("mark", Repeat.DEDUPLICATED, scope),
                         product("once", Repeat.NON_IDEMPOTENT, Scope.ALL)),
-                new Limits(mostAttempts, true, true, true, 500 * MS, false),
+                new Limits(maxAttempts, true, true, true, 500 * MS, false),
                 new Rules(10_000 * MS, 20_000 * MS, 0.15, 2.5, 1_000 * MS),
-                ask,
+                watchesEndpoints,
                 false,
                 Settings.Reports.NONE,
                 true,
@@ -108,18 +120,21 @@
                 MS);
     }
 
-    /** The same where upstreams report calls answered a second and calls held, and balancers may tell one another. */
-    static Settings reporting(Settings s, int me) {
+    /**
+     * Returns the settings changed for a balancer with the given index whose upstreams report their responses a second
+     * and calls in flight, and whose peers exchange messages.
+     */
+    static Settings reporting(Settings base, int instanceIndex) {
         return new Settings(
-                me,
-                s.instances(),
-                s.tier(),
-                s.zone(),
-                s.zones(),
-                s.products(),
-                new Limits(s.limits().maxAttempts(), true, true, true, 500 * MS, true),
-                s.rules(),
-                s.watchesEndpoints(),
+                instanceIndex,
+                base.instances(),
+                base.tier(),
+                base.zone(),
+                base.zones(),
+                base.products(),
+                new Limits(base.limits().maxAttempts(), true, true, true, 500 * MS, true),
+                base.rules(),
+                base.watchesEndpoints(),
                 false,
                 new Settings.Reports(List.of("rps", "active"), 1, 0),
                 true,
@@ -131,127 +146,143 @@
         return new Endpoint(id, state, startedAt, cell, 1, "", zone);
     }
 
-    void tell(EndpointUpdate.Kind form, Endpoint... entries) {
-        if (form == EndpointUpdate.Kind.SNAPSHOT || form == EndpointUpdate.Kind.CACHED) {
-            list.clear();
+    /** Sends the policy an update of the endpoint list. */
+    void tell(EndpointUpdate.Kind kind, Endpoint... entries) {
+        if (kind == EndpointUpdate.Kind.SNAPSHOT || kind == EndpointUpdate.Kind.CACHED) {
+            endpoints.clear();
         }
-        for (Endpoint e : entries) {
-            list.put(e.id(), e);
+        for (Endpoint entry : entries) {
+            endpoints.put(entry.id(), entry);
         }
-        policy.onEndpointUpdate(now, new EndpointUpdate(form, List.of(entries)));
+        policy.onEndpointUpdate(now, new EndpointUpdate(kind, List.of(entries)));
     }
 
-    void call(String id, String product, long left) {
-        ApiCall c = new ApiCall();
-        c.id = id;
-        c.product = settings.products().stream()
+    /** Makes a call; a remaining time of Long.MAX_VALUE means that its request body is still arriving. */
+    void call(String id, String product, long remainingTime) {
+        ApiCall call = new ApiCall();
+        call.id = id;
+        call.product = settings.products().stream()
                 .filter(p -> p.name().equals(product))
                 .findFirst()
                 .orElseThrow();
-        c.from = now;
-        c.until = left == Long.MAX_VALUE ? left : now + left;
-        calls.put(id, c);
-        policy.onApiCall(now, id, product, "t", left);
+        call.from = now;
+        call.deadline = remainingTime == Long.MAX_VALUE ? remainingTime : now + remainingTime;
+        calls.put(id, call);
+        policy.onApiCall(now, id, product, "t", remainingTime);
     }
 
-    void maintenance(String id, boolean isOut) {
-        if (isOut ? out.add(id) : out.remove(id)) {
-            policy.setMaintenance(now, id, isOut ? UpstreamTable.NOT_ENDED : now);
+    /** Takes an upstream out of service or returns it, unless it is in that state already. */
+    void maintenance(String id, boolean begins) {
+        if (begins ? inMaintenance.add(id) : inMaintenance.remove(id)) {
+            policy.setMaintenance(now, id, begins ? UpstreamTable.NOT_ENDED : now);
         }
     }
 
-    /** The body of a call whose time was not told is whole, and has gone on. */
-    void whole(String id, long left) {
-        ApiCall c = calls.get(id);
-        if (c.answer == null) {
-            c.bound = true;
+    /**
+     * Completes the request body of a call that was made without a remaining time. The body has been forwarded without
+     * being kept, so the call must not be repeated.
+     */
+    void whole(String id, long remainingTime) {
+        ApiCall call = calls.get(id);
+        if (call.answer == null) {
+            call.bound = true;
             policy.onRequestBody(now, id, -1);
         }
-        if (c.answer == null) {
-            c.until = now + left;
-            policy.onRequestBody(now, id, left);
+        if (call.answer == null) {
+            call.deadline = now + remainingTime;
+            policy.onRequestBody(now, id, remainingTime);
         }
     }
 
-    void at(long time, Runnable what) {
-        dues.add(new Due(time, order++, what));
+    /** Schedules an action. */
+    void at(long time, Runnable action) {
+        scheduledActions.add(new ScheduledAction(time, nextSequence++, action));
     }
 
+    /** Runs the actions that are scheduled up to a time, and sets the clock to that time. */
     void runTo(long time) {
-        while (!dues.isEmpty() && dues.peek().at <= time) {
-            Due due = dues.poll();
-            now = Math.max(now, due.at);
-            due.what.run();
+        while (!scheduledActions.isEmpty() && scheduledActions.peek().time <= time) {
+            ScheduledAction next = scheduledActions.poll();
+            now = Math.max(now, next.time);
+            next.action.run();
         }
         now = time;
     }
 
-    void end(String id, int attempt, Outcome outcome) {
-        ApiCall c = calls.get(id);
-        Attempt s = c.attempts.get(attempt);
-        if (s.ended == null) {
-            s.ended = outcome;
-            policy.onOutcome(now, id, attempt, outcome, now - s.at, outcome == Outcome.FULFILLED || c.answer != null);
+    /** Ends an attempt, unless it has ended already. */
+    void end(String id, int number, Outcome outcome) {
+        ApiCall call = calls.get(id);
+        Attempt attempt = call.attempts.get(number);
+        if (attempt.outcome == null) {
+            attempt.outcome = outcome;
+            policy.onOutcome(
+                    now,
+                    id,
+                    number,
+                    outcome,
+                    now - attempt.sentAt,
+                    outcome == Outcome.FULFILLED || call.answer != null);
         }
     }
 
-    /** The call's first attempt succeeds after that time, unless the call has had its answer by then. */
-    void fulfilLater(String id, long after) {
-        at(now + after, () -> {
+    /** Schedules the success of the call's first attempt, unless the call has its response by then. */
+    void fulfilLater(String id, long delay) {
+        at(now + delay, () -> {
             if (calls.get(id).answer == null) {
                 end(id, 0, Outcome.FULFILLED);
             }
         });
     }
 
-    private void wrong(String what, ApiCall c) {
-        wrongs.add(what + " for " + c.id + " (" + c.product.name() + ") at " + (now - c.from) / MS + " ms");
+    private void addViolation(String violation, ApiCall call) {
+        violations.add(violation + " for " + call.id + " (" + call.product.name() + ") after "
+                + (now - call.from) / MS + " ms");
     }
 
-    private static boolean mayHaveRun(Attempt s) {
-        return s.ended == null || !s.ended.provesNotExecuted;
+    private static boolean mayHaveExecuted(Attempt attempt) {
+        return attempt.outcome == null || !attempt.outcome.provesNotExecuted;
     }
 
     @Override
     public void startAttempt(String id, String upstream, long timeout) {
-        ApiCall c = calls.get(id);
-        if (c.answer != null || now >= c.until) {
-            wrong("an attempt after the end", c);
+        ApiCall call = calls.get(id);
+        if (call.answer != null || now >= call.deadline) {
+            addViolation("attempt after the response or the deadline", call);
         }
-        if (list.get(upstream) == null || list.get(upstream).state() != EndpointState.READY) {
-            wrong("an attempt to a draining or gone upstream", c);
+        if (endpoints.get(upstream) == null || endpoints.get(upstream).state() != EndpointState.READY) {
+            addViolation("attempt to a draining or removed upstream", call);
         }
-        if (out.contains(upstream)) {
-            wrong("an attempt to an upstream that is out by hand", c);
+        if (inMaintenance.contains(upstream)) {
+            addViolation("attempt to an upstream in maintenance", call);
         }
-        if (c.bound) {
-            wrong("a copy of a body that is not kept", c);
+        if (call.bound) {
+            addViolation("repeat of a request whose body was not kept", call);
         }
-        if (c.attempts.size() >= settings.limits().maxAttempts()) {
-            wrong("an attempt too many", c);
+        if (call.attempts.size() >= settings.limits().maxAttempts()) {
+            addViolation("more attempts than the settings allow", call);
         }
-        for (Attempt s : c.attempts) {
-            if (mayHaveRun(s) && c.product.repeat() == Repeat.NON_IDEMPOTENT) {
-                wrong("a second effect", c);
+        for (Attempt earlier : call.attempts) {
+            if (mayHaveExecuted(earlier) && call.product.repeat() == Repeat.NON_IDEMPOTENT) {
+                addViolation("repeat of a non-idempotent call that may have executed", call);
             }
-            if (mayHaveRun(s) && c.product.repeat() == Repeat.DEDUPLICATED) {
-                Endpoint a = list.get(s.upstream);
-                Endpoint b = list.get(upstream);
-                if (now - s.at >= c.product.repeatWindow()) {
-                    wrong("a repeat past the window", c);
+            if (mayHaveExecuted(earlier) && call.product.repeat() == Repeat.DEDUPLICATED) {
+                Endpoint earlierEndpoint = endpoints.get(earlier.upstream);
+                Endpoint nextEndpoint = endpoints.get(upstream);
+                if (now - earlier.sentAt >= call.product.repeatWindow()) {
+                    addViolation("repeat after the repeat window", call);
                 }
-                if ((c.product.scope() == Scope.ZONE && !a.zone().equals(b.zone()))
-                        || (c.product.scope() == Scope.CELL && a.cell() != b.cell())) {
-                    wrong("a repeat outside the group", c);
+                if ((call.product.scope() == Scope.ZONE && !earlierEndpoint.zone().equals(nextEndpoint.zone()))
+                        || (call.product.scope() == Scope.CELL && earlierEndpoint.cell() != nextEndpoint.cell())) {
+                    addViolation("repeat outside the scope that recognizes it", call);
                 }
             }
         }
-        Attempt s = new Attempt();
-        s.upstream = upstream;
-        s.at = now;
-        c.attempts.add(s);
-        int number = c.attempts.size() - 1;
-        if (c.until < Long.MAX_VALUE) {
+        Attempt attempt = new Attempt();
+        attempt.upstream = upstream;
+        attempt.sentAt = now;
+        call.attempts.add(attempt);
+        int number = call.attempts.size() - 1;
+        if (call.deadline < Long.MAX_VALUE) {
             at(now + timeout, () -> end(id, number, Outcome.TIMED_OUT));
         }
     }
@@ -262,46 +293,47 @@
         at(now, () -> end(id, attempt, Outcome.CANCELLED));
     }
 
-    private void answer(String id, String answer) {
-        ApiCall c = calls.get(id);
-        if (c.answer != null) {
-            wrong("a second answer", c);
+    private void respond(String id, String answer) {
+        ApiCall call = calls.get(id);
+        if (call.answer != null) {
+            addViolation("second response", call);
         }
-        if (now >= c.until) {
-            wrong("an answer too late", c);
+        if (now >= call.deadline) {
+            addViolation("response after the deadline", call);
         }
-        c.answer = answer;
-        c.answeredAt = now;
+        call.answer = answer;
+        call.answeredAt = now;
     }
 
     @Override
     public void fulfilled(String id, int attempt) {
-        answer(id, "fulfilled");
+        respond(id, "fulfilled");
     }
 
     @Override
     public void rateLimited(String id, long retryAfter) {
-        ApiCall c = calls.get(id);
-        if (!harmless(c)) {
-            wrong("a rate-limit reply that is no promise", c);
+        ApiCall call = calls.get(id);
+        if (!isRepeatHarmless(call)) {
+            addViolation("rate-limit response although a repeat may do harm", call);
         }
-        c.advice = retryAfter;
-        answer(id, "rate-limited");
+        call.advice = retryAfter;
+        respond(id, "rate-limited");
     }
 
     @Override
     public void errored(String id) {
-        ApiCall c = calls.get(id);
-        if (harmless(c) && now < c.until - 3 * settings.clockResolution()) {
-            wrong("an error where a rate-limit reply was allowed", c);
+        ApiCall call = calls.get(id);
+        if (isRepeatHarmless(call) && now < call.deadline - 3 * settings.clockResolution()) {
+            addViolation("error where a rate-limit response was allowed", call);
         }
-        answer(id, "errored");
+        respond(id, "errored");
     }
 
-    private boolean harmless(ApiCall c) {
-        return c.product.repeat() == Repeat.IDEMPOTENT
-                || c.attempts.stream().noneMatch(PolicySimulation::mayHaveRun)
-                || (c.product.repeat() == Repeat.DEDUPLICATED && c.product.scope() == Scope.ALL);
+    /** Returns whether the client may repeat the call without a second effect. */
+    private boolean isRepeatHarmless(ApiCall call) {
+        return call.product.repeat() == Repeat.IDEMPOTENT
+                || call.attempts.stream().noneMatch(PolicySimulation::mayHaveExecuted)
+                || (call.product.repeat() == Repeat.DEDUPLICATED && call.product.scope() == Scope.ALL);
     }
 
     @Override
@@ -312,7 +344,7 @@
     @Override
     public void sendToPeer(int peer, byte[] message) {
         if (peer == settings.instanceIndex() || peer < 0 || peer >= settings.instances() || message.length > 256) {
-            wrongs.add("a message of " + message.length + " bytes to " + peer);
+            violations.add("peer message of " + message.length + " bytes to balancer " + peer);
         }
         told.add(message);
     }
@@ -324,20 +356,20 @@
 
     @Override
     public void watchEndpoints() {
-        watches++;
+        startedWatches++;
     }
 
-    /** What every call must have come to once its client has given up. */
+    /** Advances the time past all deadlines, and fails if a call has no response or the policy has violated a rule. */
     void settle() {
         runTo(now + 10_000 * MS);
-        for (ApiCall c : calls.values()) {
-            if (c.answer == null) {
-                wrong("no answer", c);
+        for (ApiCall call : calls.values()) {
+            if (call.answer == null) {
+                addViolation("no response", call);
             }
         }
-        if (!wrongs.isEmpty()) {
-            throw new AssertionError(wrongs.size() + " wrongs: "
-                    + Arrays.toString(wrongs.stream().limit(5).toArray()));
+        if (!violations.isEmpty()) {
+            throw new AssertionError(violations.size() + " violations: "
+                    + Arrays.toString(violations.stream().limit(5).toArray()));
         }
     }
 }
