--- a/balancer/src/test/java/gorsestack/decision/FleetMembershipTest.java
+++ b/balancer/src/test/java/gorsestack/decision/FleetMembershipTest.java
@@ -13,55 +13,58 @@
 import java.util.function.IntSupplier;
 import org.junit.jupiter.api.Test;
 
-/** What discovery and operators say about upstreams. */
+/** Tests that updates from discovery and maintenance orders of operators are applied to the upstreams. */
 class FleetMembershipTest {
     @Test
-    void removesWhatASnapshotDoesNotNameAndKeepsItWithADelta() {
-        PolicySimulation play = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
-        UpstreamState upstream = play.policy.upstreams.find("u0");
-        play.tell(Kind.DELTA, entry("u1", EndpointState.READY, 0, 0, "a"));
+    void removesUpstreamMissingFromSnapshotButNotFromDelta() {
+        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+        UpstreamState upstream = simulation.policy.upstreams.find("u0");
+        simulation.tell(Kind.DELTA, entry("u1", EndpointState.READY, 0, 0, "a"));
         assertEquals(EndpointState.READY, upstream.endpoint.state());
-        play.tell(Kind.SNAPSHOT, entry("u1", EndpointState.READY, 0, 0, "a"));
+        simulation.tell(Kind.SNAPSHOT, entry("u1", EndpointState.READY, 0, 0, "a"));
         assertEquals(EndpointState.GONE, upstream.endpoint.state());
-        assertNull(play.policy.upstreams.find("u0"));
+        assertNull(simulation.policy.upstreams.find("u0"));
         assertEquals(1, upstream.locality.members.length);
     }
 
-    /** Danger: discovery lists an upstream that operators have taken out of service, as new or in another slot. */
+    /**
+     * Discovery may list an upstream that operators have taken out of service, also with a new start time or, after it
+     * was removed, in another slot. Maintenance has to hold in each of these cases.
+     */
     @Test
-    void sendsNothingToUpstreamsInMaintenanceWhateverDiscoverySays() {
-        PolicySimulation play = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
-        int[] calls = new int[1];
-        IntSupplier toU1 = () -> {
-            int to = 0;
+    void sendsNothingToUpstreamInMaintenanceWhenDiscoveryListsIt() {
+        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+        int[] callCount = new int[1];
+        IntSupplier callsToU1 = () -> {
+            int sentToU1 = 0;
             for (int i = 0; i < 100; i++) {
-                String id = "c" + calls[0]++;
-                play.call(id, "read", 1000 * MS);
-                to += play.calls.get(id).attempts.stream().anyMatch(s -> s.upstream.equals("u1")) ? 1 : 0;
-                play.fulfilLater(id, 20 * MS);
-                play.runTo(play.now + 50 * MS);
+                String id = "c" + callCount[0]++;
+                simulation.call(id, "read", 1000 * MS);
+                sentToU1 += simulation.calls.get(id).attempts.stream().anyMatch(attempt -> attempt.upstream.equals("u1")) ? 1 : 0;
+                simulation.fulfilLater(id, 20 * MS);
+                simulation.runTo(simulation.now + 50 * MS);
             }
-            return to;
+            return sentToU1;
         };
-        assertTrue(toU1.getAsInt() > 10);
-        play.policy.setMaintenance(play.now, "u1", UpstreamTable.NOT_ENDED);
-        assertEquals(0, toU1.getAsInt());
-        play.tell(Kind.DELTA, entry("u1", EndpointState.READY, play.now, 0, "a"));
-        assertEquals(0, toU1.getAsInt(), "restarted");
-        play.tell(
+        assertTrue(callsToU1.getAsInt() > 10);
+        simulation.policy.setMaintenance(simulation.now, "u1", UpstreamTable.NOT_ENDED);
+        assertEquals(0, callsToU1.getAsInt());
+        simulation.tell(Kind.DELTA, entry("u1", EndpointState.READY, simulation.now, 0, "a"));
+        assertEquals(0, callsToU1.getAsInt(), "calls after a restart of the upstream");
+        simulation.tell(
                 Kind.SNAPSHOT,
                 entry("u2", EndpointState.READY, 0, 0, "a"),
                 entry("u3", EndpointState.READY, 0, 0, "a"));
-        play.tell(Kind.DELTA, entry("u9", EndpointState.READY, 0, 0, "a"), entry("u1", EndpointState.READY, 0, 0, "a"));
-        assertEquals(0, toU1.getAsInt(), "gone and there again");
-        play.policy.setMaintenance(play.now, "u1", play.now);
-        int cold = toU1.getAsInt();
-        assertTrue(cold > 0 && cold < 15, cold + " of 100 calls in 5 s to the one called back");
+        simulation.tell(Kind.DELTA, entry("u9", EndpointState.READY, 0, 0, "a"), entry("u1", EndpointState.READY, 0, 0, "a"));
+        assertEquals(0, callsToU1.getAsInt(), "calls after discovery removed the upstream and listed it again");
+        simulation.policy.setMaintenance(simulation.now, "u1", simulation.now);
+        int afterReturn = callsToU1.getAsInt();
+        assertTrue(afterReturn > 0 && afterReturn < 15, afterReturn + " of 100 calls in 5 s to the upstream that was returned to service");
         for (String id : List.of("u1", "u2", "u3", "u9")) {
-            play.policy.setMaintenance(play.now, id, UpstreamTable.NOT_ENDED);
+            simulation.policy.setMaintenance(simulation.now, id, UpstreamTable.NOT_ENDED);
         }
-        play.call("none", "once", 1000 * MS);
-        assertEquals("rate-limited", play.calls.get("none").answer, "with all out it is answered at once");
-        play.settle();
+        simulation.call("none", "once", 1000 * MS);
+        assertEquals("rate-limited", simulation.calls.get("none").answer, "immediate response while all upstreams are in maintenance");
+        simulation.settle();
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/LearnedLocalityTest.java
+++ b/balancer/src/test/java/gorsestack/decision/LearnedLocalityTest.java
@@ -8,13 +8,14 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
+/** Tests of {@link LearnedLocality} with rows of any length and content. */
 class LearnedLocalityTest {
     private static final double[][] MALFORMED = {
         {}, {1}, {1, 2, 3}, {1, 2, 3, 4, 5, 6}, {-1, 2, 3, 4}, {Double.NaN, 2, 3, 4}, {1e6, 2, 3, 4}, {1, 2, 3, 4, -0.5}
     };
 
     @Test
-    void namesTheColumns() {
+    void returnsEachColumnOfRow() {
         LearnedLocality learned = LearnedLocality.ofRow(4, 0.2, 0.1, 33, 6);
         assertEquals(4, learned.concurrencyLimit());
         assertEquals(0.2, learned.latencyRatio());
@@ -26,7 +27,7 @@
     }
 
     @Test
-    void returnsEachRowAsItCame() {
+    void returnsMalformedRowUnchanged() {
         for (double[] row : MALFORMED) {
             LearnedLocality learned = LearnedLocality.ofRow(row);
             assertArrayEquals(row, learned.toRow());
@@ -38,7 +39,7 @@
     }
 
     @Test
-    void isImmutable() {
+    void staysUnchangedWhenArraysAreModified() {
         double[] row = {1, 2, 3, 4};
         LearnedLocality learned = LearnedLocality.ofRow(row);
         row[0] = 9;
@@ -50,7 +51,7 @@
     }
 
     @Test
-    void derivesNothingFromColumnsThatAreMissing() {
+    void keepsRowUnchangedWhenColumnsAreMissing() {
         assertArrayEquals(
                 new double[0], LearnedLocality.ofRow().withConcurrencyLimit(7).toRow());
         assertArrayEquals(
--- a/balancer/src/test/java/gorsestack/decision/LoadGossipFormatTest.java
+++ b/balancer/src/test/java/gorsestack/decision/LoadGossipFormatTest.java
@@ -10,14 +10,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The load gossip message, as one hexadecimal line, with what the reader makes of it. */
+/** Compares the load gossip message, as one hexadecimal line, and its decoded entries with the stored fixtures. */
 class LoadGossipFormatTest {
     private static final Fixture DATAGRAM = new Fixture("load-gossip.txt");
     private static final Fixture DECODED = new Fixture("load-gossip-read.txt");
     private static final long NOW = 1_764_000_000_000_000_000L;
     private static final int UPSTREAMS = 14;
 
-    /** More upstreams than one message holds; the third's report is too old to count. */
+    /** Returns more upstreams than one message can contain; the report of the third is too old to be decoded. */
     private static UpstreamState[] upstreams() {
         UpstreamTable table = new UpstreamTable();
         UpstreamState[] upstreams = new UpstreamState[UPSTREAMS];
@@ -31,13 +31,13 @@
     }
 
     @Test
-    void writesTheFixture() throws IOException {
+    void encodesMessageOfFixture() throws IOException {
         byte[] message = LoadGossip.write(upstreams(), NOW);
         DATAGRAM.assertSame(HexFormat.of().formatHex(message) + "\n");
     }
 
     @Test
-    void readsTheFixture() throws IOException {
+    void decodesMessageOfFixture() throws IOException {
         List<String> received = new ArrayList<>();
         byte[] message = HexFormat.of().parseHex(new String(DATAGRAM.input(), StandardCharsets.US_ASCII).strip());
         LoadGossip.read(
--- a/balancer/src/test/java/gorsestack/decision/LocalityLoadTest.java
+++ b/balancer/src/test/java/gorsestack/decision/LocalityLoadTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The sums over a locality's load reports. */
+/** Tests of the load that is computed from the load reports of a locality's upstreams. */
 class LocalityLoadTest {
     private static final double SLO = 400 * MS;
 
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void isLateWhereItsUpstreamsAreUntilTheirReportsAreOld() {
+    void followsLatencyOfUpstreamsUntilTheirReportsAreOld() {
         LocalityLoad load = new LocalityLoad();
         UpstreamState[] members = {reported(30, 2, MS), reported(30, 2, MS)};
         load.refresh(members, MS, SLO);
@@ -32,12 +32,12 @@
     }
 
     @Test
-    void leavesOutEjectedUpstreams() {
+    void ignoresEjectedUpstreams() {
         LocalityLoad load = new LocalityLoad();
         UpstreamState ejected = reported(30, 2, MS);
         ejected.ejected = true;
         load.refresh(new UpstreamState[] {ejected, reported(0, 0.1, MS)}, MS, SLO);
         assertTrue(load.latencyRatio < 0.2, "latency " + load.latencyRatio);
-        assertEquals(0.4, load.latencyLimit, "the least");
+        assertEquals(0.4, load.latencyLimit, "the lowest latency limit");
     }
 }
