--- a/balancer/src/main/java/gorsestack/decision/LocalityRouter.java
+++ b/balancer/src/main/java/gorsestack/decision/LocalityRouter.java
@@ -23,7 +23,7 @@
 
     private final Locality[] localities;
     private final SeededRandom random;
-    /** The time from which each locality has been unhealthy; 0 if traffic goes to it. */
+    /** The time since which each locality has been unhealthy; 0 if it is healthy. */
     private final long[] unhealthySince;
     /** The earliest time at which traffic may return to each locality. */
     private final long[] returnAt;
@@ -58,7 +58,8 @@
 
     /**
      * Refreshes the load of all localities and returns the index of one that is drawn at random. The weight of a
-     * locality is its throughput divided by the third power of its load.
+     * locality is the throughput of its healthy members divided by the third power of its load; localities other than
+     * the balancer's own one have a lower weight.
      */
     int drawByLoad(long now, double meanSlo) {
         double total = 0;
@@ -66,8 +67,8 @@
             Locality locality = localities[i];
             LocalityLoad load = locality.load;
             load.refresh(locality.members, now, meanSlo);
-            double weight = (i == 0 ? 1 : OTHER_LOCALITY_WEIGHT) * locality.healthyCount();
-            total += weight * load.meanThroughput / Math.pow(1 + load.meanLoad, LOAD_EXPONENT);
+            double weightedHealthyCount = (i == 0 ? 1 : OTHER_LOCALITY_WEIGHT) * locality.healthyCount();
+            total += weightedHealthyCount * load.meanThroughput / Math.pow(1 + load.meanLoad, LOAD_EXPONENT);
             cumulativeWeights[i] = total;
         }
         double drawn = random.next() * total;
--- a/balancer/src/main/java/gorsestack/decision/UpstreamSelector.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamSelector.java
@@ -17,7 +17,7 @@
         ANY_LOAD(true, false, false),
         /** Also allows an upstream that the call has already tried, if none of the call's attempts is in flight. */
         SAME_UPSTREAM_AGAIN(true, true, false),
-        /** Also allows ejected upstreams. */
+        /** Also allows ejected upstreams, and any upstream that the call has already tried. */
         EJECTED_TOO(true, true, true);
 
         final boolean ignoresLoad;
