--- a/balancer/src/main/java/gorsestack/decision/FleetMembership.java
+++ b/balancer/src/main/java/gorsestack/decision/FleetMembership.java
@@ -155,7 +155,8 @@
     private void sortBySubsetRank(UpstreamState[] members) {
         long[] sortKeys = new long[members.length];
         for (int i = 0; i < members.length; i++) {
-            sortKeys[i] = (long) UpstreamTable.subsetRank(members[i], settings.instanceIndex()) << 32 | members[i].index;
+            sortKeys[i] =
+                    (long) UpstreamTable.subsetRank(members[i], settings.instanceIndex()) << 32 | members[i].index;
         }
         Arrays.sort(sortKeys);
         for (int i = 0; i < members.length; i++) {
--- a/balancer/src/main/java/gorsestack/decision/Locality.java
+++ b/balancer/src/main/java/gorsestack/decision/Locality.java
@@ -29,6 +29,7 @@
     private final long slowStartTime;
     /** Exponentially decayed number of responses as of {@link #respondedAt}. */
     private double responses;
+
     private long respondedAt;
 
     Locality(int index, long slowStartTime) {
--- a/balancer/src/main/java/gorsestack/decision/LocalityLoad.java
+++ b/balancer/src/main/java/gorsestack/decision/LocalityLoad.java
@@ -49,7 +49,8 @@
                 latencyWeights += upstreamThroughput / (load + 1);
                 baselines += upstreamThroughput * upstream.latencyRatio / Math.max(1, load);
                 double weight = Math.exp((upstream.reportedAt - now) / (REPORT_DECAY_SLOS * meanSlo));
-                latencies += upstreamThroughput / (load + 1) * Math.min(MAX_LATENCY_RATIO, upstream.latencyRatio) * weight;
+                latencies +=
+                        upstreamThroughput / (load + 1) * Math.min(MAX_LATENCY_RATIO, upstream.latencyRatio) * weight;
             }
         }
         meanThroughput = throughput / count;
--- a/balancer/src/main/java/gorsestack/decision/LocalityRouter.java
+++ b/balancer/src/main/java/gorsestack/decision/LocalityRouter.java
@@ -27,6 +27,7 @@
     private final long[] unhealthySince;
     /** The earliest time at which traffic may return to each locality. */
     private final long[] returnAt;
+
     private final double[] cumulativeWeights;
 
     LocalityRouter(Locality[] localities, SeededRandom random) {
--- a/balancer/src/main/java/gorsestack/decision/UpstreamSelector.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamSelector.java
@@ -74,6 +74,7 @@
     private final double meanSlo;
     /** Exponentially decayed number of calls as of {@link #calledAt}. */
     private double recentCalls;
+
     private long calledAt;
 
     UpstreamSelector(
--- a/balancer/src/test/java/gorsestack/decision/ColdFleetTest.java
+++ b/balancer/src/test/java/gorsestack/decision/ColdFleetTest.java
@@ -53,7 +53,8 @@
             }
             int number = world.attemptCount++;
             BalancingPolicy sender = policy;
-            long latency = world.scenario == Scenario.HEDGES_AND_RETRIES && world.random.nextInt(4) == 0 ? 300 * MS : 20 * MS;
+            long latency =
+                    world.scenario == Scenario.HEDGES_AND_RETRIES && world.random.nextInt(4) == 0 ? 300 * MS : 20 * MS;
             int attempt = world.nextAttemptNumber(apiCall);
             world.at(
                     world.now + latency,
@@ -61,7 +62,9 @@
                             world.now,
                             apiCall,
                             attempt,
-                            world.scenario == Scenario.HEDGES_AND_RETRIES && number % 10 == 0 ? Outcome.REJECTED : Outcome.FULFILLED,
+                            world.scenario == Scenario.HEDGES_AND_RETRIES && number % 10 == 0
+                                    ? Outcome.REJECTED
+                                    : Outcome.FULFILLED,
                             latency,
                             false));
         }
@@ -143,7 +146,8 @@
     }
 
     /** Returns the largest excess of the attempts in a window over N + 2 sqrt(N) + 2; below 0 if there is none. */
-    private static double excess(Scenario scenario, int processes, long seed, int configuredInstances, InjectedFault injectedFault) {
+    private static double excess(
+            Scenario scenario, int processes, long seed, int configuredInstances, InjectedFault injectedFault) {
         World world = new World(scenario, seed);
         runScenario(world, processes, seed, configuredInstances, injectedFault);
         double capacity = scenario == Scenario.NEW_FLEET ? 2 : CAPACITY;
@@ -162,7 +166,8 @@
     }
 
     /** Runs a scenario until eight seconds after the start of the cold upstream. */
-    private static void runScenario(World world, int processes, long seed, int configuredInstances, InjectedFault injectedFault) {
+    private static void runScenario(
+            World world, int processes, long seed, int configuredInstances, InjectedFault injectedFault) {
         Scenario scenario = world.scenario;
         long start = START;
         world.now = start - 3_000 * MS;
@@ -252,7 +257,8 @@
             entries.add(PolicySimulation.entry("b1", EndpointState.READY, 0, 0, "b"));
         }
         if (withCold) {
-            entries.add(PolicySimulation.entry("cold", EndpointState.READY, 10_000 * MS, 0, coldInOtherZone ? "b" : "a"));
+            entries.add(
+                    PolicySimulation.entry("cold", EndpointState.READY, 10_000 * MS, 0, coldInOtherZone ? "b" : "a"));
         }
         return new EndpointUpdate(EndpointUpdate.Kind.SNAPSHOT, entries);
     }
@@ -264,14 +270,16 @@
             boolean pause = world.scenario == Scenario.PAUSE && since > 0 && since < 3_000 * MS;
             boolean reduced = world.scenario == Scenario.LOST_ZONE && since > 4_000 * MS && world.random.nextInt(3) > 0;
             if (!pause && !reduced) {
-                process.policy.onApiCall(world.now, process.hashCode() + "-" + process.calls++, "read", null, 1_000 * MS);
+                process.policy.onApiCall(
+                        world.now, process.hashCode() + "-" + process.calls++, "read", null, 1_000 * MS);
             }
             scheduleCalls(world, process, callsPerSecond, start);
         });
     }
 
     /** Plays a scenario with many seeds; returns the number of seeds with an excess, and the largest excess. */
-    private static double[] measureExcess(Scenario scenario, int processes, int seeds, int instances, InjectedFault injectedFault) {
+    private static double[] measureExcess(
+            Scenario scenario, int processes, int seeds, int instances, InjectedFault injectedFault) {
         int failedSeeds = 0;
         double worst = -1e9;
         for (int seed = 0; seed < seeds; seed++) {
@@ -308,11 +316,16 @@
     @Test
     void detectsPermitWithoutDrawAndRateThatIsNotDivided() {
         for (int processes : new int[] {20, 30}) {
-            assertTrue(measureExcess(Scenario.NEW_FLEET, processes, 100, 1, InjectedFault.NONE)[0] > 10, "each process sends as if it were the only one");
             assertTrue(
-                    measureExcess(Scenario.NEW_FLEET, processes, 100, processes, InjectedFault.PERMIT_WITHOUT_DRAW)[0] > 10, "permits without a draw");
+                    measureExcess(Scenario.NEW_FLEET, processes, 100, 1, InjectedFault.NONE)[0] > 10,
+                    "each process sends as if it were the only one");
             assertTrue(
-                    measureExcess(Scenario.RESTARTS, processes, 100, processes, InjectedFault.PERMIT_WITHOUT_DRAW)[0] > 10,
+                    measureExcess(Scenario.NEW_FLEET, processes, 100, processes, InjectedFault.PERMIT_WITHOUT_DRAW)[0]
+                            > 10,
+                    "permits without a draw");
+            assertTrue(
+                    measureExcess(Scenario.RESTARTS, processes, 100, processes, InjectedFault.PERMIT_WITHOUT_DRAW)[0]
+                            > 10,
                     "permits without a draw after each restart");
         }
     }
@@ -331,7 +344,8 @@
                 sent += world.sent.size();
             }
             assertTrue(
-                    sent >= (processes == 100 ? 30 : 120), processes + " processes sent " + sent + " attempts in 20 runs of 8 s");
+                    sent >= (processes == 100 ? 30 : 120),
+                    processes + " processes sent " + sent + " attempts in 20 runs of 8 s");
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/FleetMembershipTest.java
+++ b/balancer/src/test/java/gorsestack/decision/FleetMembershipTest.java
@@ -40,7 +40,10 @@
             for (int i = 0; i < 100; i++) {
                 String id = "c" + callCount[0]++;
                 simulation.call(id, "read", 1000 * MS);
-                sentToU1 += simulation.calls.get(id).attempts.stream().anyMatch(attempt -> attempt.upstream.equals("u1")) ? 1 : 0;
+                sentToU1 +=
+                        simulation.calls.get(id).attempts.stream().anyMatch(attempt -> attempt.upstream.equals("u1"))
+                                ? 1
+                                : 0;
                 simulation.fulfilLater(id, 20 * MS);
                 simulation.runTo(simulation.now + 50 * MS);
             }
@@ -55,16 +58,22 @@
                 Kind.SNAPSHOT,
                 entry("u2", EndpointState.READY, 0, 0, "a"),
                 entry("u3", EndpointState.READY, 0, 0, "a"));
-        simulation.tell(Kind.DELTA, entry("u9", EndpointState.READY, 0, 0, "a"), entry("u1", EndpointState.READY, 0, 0, "a"));
+        simulation.tell(
+                Kind.DELTA, entry("u9", EndpointState.READY, 0, 0, "a"), entry("u1", EndpointState.READY, 0, 0, "a"));
         assertEquals(0, callsToU1.getAsInt(), "calls after discovery removed the upstream and listed it again");
         simulation.policy.setMaintenance(simulation.now, "u1", simulation.now);
         int afterReturn = callsToU1.getAsInt();
-        assertTrue(afterReturn > 0 && afterReturn < 15, afterReturn + " of 100 calls in 5 s to the upstream that was returned to service");
+        assertTrue(
+                afterReturn > 0 && afterReturn < 15,
+                afterReturn + " of 100 calls in 5 s to the upstream that was returned to service");
         for (String id : List.of("u1", "u2", "u3", "u9")) {
             simulation.policy.setMaintenance(simulation.now, id, UpstreamTable.NOT_ENDED);
         }
         simulation.call("none", "once", 1000 * MS);
-        assertEquals("rate-limited", simulation.calls.get("none").answer, "immediate response while all upstreams are in maintenance");
+        assertEquals(
+                "rate-limited",
+                simulation.calls.get("none").answer,
+                "immediate response while all upstreams are in maintenance");
         simulation.settle();
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/LoadReportsTest.java
+++ b/balancer/src/test/java/gorsestack/decision/LoadReportsTest.java
@@ -35,7 +35,8 @@
      */
     private static int callsToU0(int calls, int instanceIndex, BiConsumer<PolicySimulation, Integer> before) {
         PolicySimulation simulation = new PolicySimulation(
-                PolicySimulation.reporting(PolicySimulation.settings(1000, 0, 1, false, Scope.ALL), instanceIndex), instanceIndex);
+                PolicySimulation.reporting(PolicySimulation.settings(1000, 0, 1, false, Scope.ALL), instanceIndex),
+                instanceIndex);
         simulation.tell(
                 Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"), entry("u1", EndpointState.READY, 0, 0, "a"));
         int sentToU0 = 0;
--- a/balancer/src/test/java/gorsestack/decision/LocalityRouterTest.java
+++ b/balancer/src/test/java/gorsestack/decision/LocalityRouterTest.java
@@ -88,7 +88,8 @@
             }
             long returnDelay = (simulation.now - recoveredAt) / MS;
             assertTrue(
-                    returnDelay <= Math.min(5000, unhealthyTime) + 100 && returnDelay >= Math.min(5000, unhealthyTime) - 200,
+                    returnDelay <= Math.min(5000, unhealthyTime) + 100
+                            && returnDelay >= Math.min(5000, unhealthyTime) - 200,
                     unhealthyTime + " ms unhealthy, ms until traffic returned: " + returnDelay);
         }
     }
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -29,6 +29,7 @@
         long sentAt;
         /** How the attempt ended; null while it is in flight. */
         Outcome outcome;
+
         boolean cancelled;
     }
 
@@ -235,8 +236,8 @@
     }
 
     private void addViolation(String violation, ApiCall call) {
-        violations.add(violation + " for " + call.id + " (" + call.product.name() + ") after "
-                + (now - call.from) / MS + " ms");
+        violations.add(violation + " for " + call.id + " (" + call.product.name() + ") after " + (now - call.from) / MS
+                + " ms");
     }
 
     private static boolean mayHaveExecuted(Attempt attempt) {
@@ -271,7 +272,8 @@
                 if (now - earlier.sentAt >= call.product.repeatWindow()) {
                     addViolation("repeat after the repeat window", call);
                 }
-                if ((call.product.scope() == Scope.ZONE && !earlierEndpoint.zone().equals(nextEndpoint.zone()))
+                if ((call.product.scope() == Scope.ZONE
+                                && !earlierEndpoint.zone().equals(nextEndpoint.zone()))
                         || (call.product.scope() == Scope.CELL && earlierEndpoint.cell() != nextEndpoint.cell())) {
                     addViolation("repeat outside the scope that recognizes it", call);
                 }
--- a/balancer/src/test/java/gorsestack/decision/SlowStartTest.java
+++ b/balancer/src/test/java/gorsestack/decision/SlowStartTest.java
@@ -75,7 +75,9 @@
                         .filter(sentAt -> sentAt >= startedAt && sentAt < startedAt + 1000)
                         .count();
                 double capacityFraction = 0.15 + 0.85 * Math.min(1, startedAt / 20_000.0);
-                assertTrue(sent <= 2.5 * capacity * capacityFraction, "sent " + sent + " in a second at " + startedAt + " ms");
+                assertTrue(
+                        sent <= 2.5 * capacity * capacityFraction,
+                        "sent " + sent + " in a second at " + startedAt + " ms");
             }
             assertTrue(toCold.size() > 100, "attempts to the upstream that is warming up: " + toCold.size());
         }
@@ -96,7 +98,16 @@
                 }
                 String id = "c" + i;
                 simulation.call(id, "once", 1000 * MS);
-                sent += i >= 20 && simulation.calls.get(id).attempts.get(0).upstream.equals("u0") ? 1 : 0;
+                sent += i >= 20
+                                && simulation
+                                        .calls
+                                        .get(id)
+                                        .attempts
+                                        .get(0)
+                                        .upstream
+                                        .equals("u0")
+                        ? 1
+                        : 0;
                 simulation.fulfilLater(id, 30 * MS);
                 simulation.runTo(simulation.now + 300 * MS);
             }
--- a/balancer/src/test/java/gorsestack/decision/UpstreamSelectorTest.java
+++ b/balancer/src/test/java/gorsestack/decision/UpstreamSelectorTest.java
@@ -23,7 +23,9 @@
             simulation.end("c" + i, 0, Outcome.FULFILLED);
         }
         for (int callsToUpstream : calls) {
-            assertTrue(callsToUpstream > 90 && callsToUpstream < 110, callsToUpstream + " of 300 calls to one of three upstreams");
+            assertTrue(
+                    callsToUpstream > 90 && callsToUpstream < 110,
+                    callsToUpstream + " of 300 calls to one of three upstreams");
         }
     }
 
@@ -40,8 +42,15 @@
         for (int i = 0; i < 160; i++) {
             String id = "c" + i;
             simulation.call(id, "once", 1000 * MS);
-            boolean isSlow =
-                    Integer.parseInt(simulation.calls.get(id).attempts.get(0).upstream.substring(1)) % 2 == 0;
+            boolean isSlow = Integer.parseInt(simulation
+                                    .calls
+                                    .get(id)
+                                    .attempts
+                                    .get(0)
+                                    .upstream
+                                    .substring(1))
+                            % 2
+                    == 0;
             toSlow += isSlow && i >= 40 ? 1 : 0;
             simulation.fulfilLater(id, (isSlow ? 90 : 30) * MS);
             simulation.runTo(simulation.now + 100 * MS);
