--- a/balancer/src/main/java/gorsestack/invariant/CloseReason.java
+++ b/balancer/src/main/java/gorsestack/invariant/CloseReason.java
@@ -1,27 +1,27 @@
 package gorsestack.invariant;
 
-/** Why a client's connection ends; the list is complete. The constants' names are keys of the status document ("closes.*"). */
+/** All reasons for which a client's connection is closed. The constants' names are keys of the status document ("closes.*"). */
 public enum CloseReason {
-    /** The client closed, half-closed or reset the connection, or the operating system did. */
+    /** The client or the operating system closed, half-closed or reset the connection. */
     CLIENT_GONE,
-    /** No request arrived within the time allowed for a client's first request. */
+    /** The client's first request did not arrive within the time allowed for it. */
     NEVER_ASKED,
-    /** Idle between calls while connections had to be closed: over the limit, at shutdown, or while clients are sent to another balancer. */
+    /** The connection was idle when connections had to be closed: over the limit, at shutdown, or to move clients to another balancer. */
     IDLE,
-    /** Its last response carried "Connection: close". */
+    /** The last response on the connection carried "Connection: close". */
     LAST_ANSWER,
     /** The input was malformed or not completed in time; an error response was written. */
     BAD_REQUEST,
-    /** The client pipelined more than is buffered; the buffered requests have been served. */
+    /** The client pipelined more than the balancer buffers; the buffered requests have been served. */
     SENT_TOO_MUCH,
-    /** The response was sent before the request's body was complete, and the rest has arrived or has stalled. */
+    /** The response was sent before the request body was complete, and the rest of the body has arrived or has stalled. */
     ANSWERED_EARLY,
-    /** The upstream's response broke off after its first bytes had been passed on. */
+    /** The upstream's response was cut off after its first bytes had been forwarded. */
     ANSWER_CUT,
-    /** The client reads nothing of its response. */
+    /** The client does not read its response. */
     STALLED,
-    /** Its error response has been written, and the number of connections is over the limit. */
+    /** An error response has been written, and the number of client connections is over the limit. */
     ROOM,
-    /** The process ends. */
+    /** The balancer process shuts down. */
     SHUTDOWN
 }
--- a/balancer/src/main/java/gorsestack/invariant/Invariants.java
+++ b/balancer/src/main/java/gorsestack/invariant/Invariants.java
@@ -7,8 +7,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * Counts violations of the program's rules, which have to stay at 0, and closes, rejections and retries by reason. Owned by the event
- * loop's thread: every method is called there.
+ * Counts violations of the program's rules, which must stay at 0, and closes, rejections and retries by reason, for the status document.
+ * Owned by the event loop's thread, on which all methods are called.
  */
 public final class Invariants {
     private static final System.Logger LOG = System.getLogger("gorsestack.invariants");
@@ -20,7 +20,7 @@
     private final Map<RejectionReason, Long> rejections = new EnumMap<>(RejectionReason.class);
     private final Map<String, Long> retries = new TreeMap<>();
 
-    /** Counts a violation; logged at most once a second for each rule. */
+    /** Counts a violation, and logs it unless one of the same rule was logged within the last second. */
     public void violated(Rule rule, String callId, String reason) {
         violations.merge(rule, 1L, Long::sum);
         long now = System.nanoTime();
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Counts the end of a client's connection. */
+    /** Counts a client connection that was closed. */
     public void closed(CloseReason reason) {
         closes.merge(reason, 1L, Long::sum);
     }
@@ -47,14 +47,14 @@
         rejections.merge(reason, 1L, Long::sum);
     }
 
-    /** Counts a further attempt, by the outcome of the attempt before it or the fact that it was still in flight. */
+    /** Counts a further attempt by the outcome of the attempt before it, or by a separate key if that one was still in flight. */
     public void retried(String previousOutcome) {
         retries.merge(previousOutcome, 1L, Long::sum);
     }
 
     /**
-     * Reports all counters as key and value: every rule, and of the other counters those above 0. The keys are part of the status
-     * document and do not follow renames in the code.
+     * Reports the counters as keys and values: those of every rule, and the other counters that are above 0. The keys are part of the
+     * status document and must not change when identifiers are renamed.
      */
     public void report(BiConsumer<String, Long> sink) {
         for (Rule rule : Rule.values()) {
--- a/balancer/src/main/java/gorsestack/invariant/RejectionReason.java
+++ b/balancer/src/main/java/gorsestack/invariant/RejectionReason.java
@@ -1,17 +1,17 @@
 package gorsestack.invariant;
 
-/** Why an attempt or a call was rejected. The constants' names are keys of the status document ("refusals.*"). */
+/** The reasons for which an attempt or a call is rejected. The constants' names are keys of the status document ("refusals.*"). */
 public enum RejectionReason {
-    /** An attempt whose client disconnected before its request was written. */
+    /** The client disconnected before the attempt's request was written. */
     CLIENT_LEFT,
-    /** An attempt whose deadline, retry window or drain grace had passed, or whose call had ended, before its request was written. */
+    /** The attempt's deadline, retry window or drain grace period had passed, or its call had ended, before its request was written. */
     TOO_LATE,
-    /** An attempt for which no connection was available. */
+    /** No connection was available for the attempt. */
     NO_CONNECTION,
-    /** A call over the limit of client connections. */
+    /** The call came on a connection over the limit of client connections. */
     NO_ROOM,
-    /** A call with the id of a call in flight. */
+    /** The call has the same id as a call in flight. */
     SAME_ID,
-    /** A call without a response at its deadline; the backstop responded in its place. */
+    /** The call had no response at its deadline, so the backstop timer sent one. */
     LEFT_UNANSWERED
 }
--- a/balancer/src/main/java/gorsestack/invariant/Rule.java
+++ b/balancer/src/main/java/gorsestack/invariant/Rule.java
@@ -1,12 +1,12 @@
 package gorsestack.invariant;
 
-/** What the program must never do; each rule is checked after the event. The constants' names are keys of the status document. */
+/** The rules that the program must never violate, described by their violation. The constants' names are keys of the status document. */
 public enum Rule {
-    /** A request was sent for a disconnected client, after the final response, past its deadline or retry window, or after the drain grace. */
+    /** A request was sent after its client's disconnect or final response, its deadline or retry window, or the drain grace period. */
     SEND,
-    /** A retry, or a rate-limit response, although an earlier attempt may have executed and a duplicate may do harm. */
+    /** A retry or a rate-limit response was sent although an earlier attempt may have executed and a duplicate may do harm. */
     REPEAT,
-    /** A connection was closed before a request that was read received its complete response. */
+    /** A connection was closed before a request that had been read received its complete response. */
     CLOSE,
     /** A request that became a call did not receive exactly one response. */
     ANSWER
--- a/balancer/src/main/java/gorsestack/invariant/SendAudit.java
+++ b/balancer/src/main/java/gorsestack/invariant/SendAudit.java
@@ -6,28 +6,28 @@
 import gorsestack.decision.Settings.Scope;
 
 /**
- * Audits a request after it was written, from what was observed at the sockets: independent of the decision to send it and of the check
- * made just before the write. Stateless and safe on any thread; allocates nothing unless a rule was violated.
+ * Audits a request after it was written, from the times observed at the sockets, independently of the decision to send it and of the check
+ * made just before the write. Used by the proxy for each attempt; stateless and thread-safe. Allocates nothing unless a rule is violated.
  */
 public final class SendAudit {
-    /** The process may be paused for this long between the check before the write and the write itself. */
+    /** Tolerated delay between the check before the write and the write itself, as the process may be paused in between. */
     private static final long PAUSE_TOLERANCE_NANOS = 150_000_000L;
-    /** The disconnect of a client takes effect within this time. */
+    /** Time within which a client's disconnect must take effect. */
     private static final long DISCONNECT_GRACE_NANOS = 100_000_000L;
 
     private SendAudit() {}
 
     /**
-     * Returns the sending rule that a written request violates, or null if it violates none. All times are in nanoseconds on the event
-     * loop's clock; Long.MAX_VALUE stands for "never".
+     * Returns the name of the violation if the written request must not have been sent, otherwise null. All times are in nanoseconds on the
+     * event loop's clock; Long.MAX_VALUE means "never".
      *
      * @param startedAt when the first byte of the request was written
      * @param deadline when the attempt times out
-     * @param sendBy the last moment at which the upstream would still recognise the request as a duplicate
+     * @param sendBy the latest time at which the upstream would still recognize the request as a duplicate
      * @param endedAt when the call received its final response or its client disconnected
      * @param clientDisconnected whether the call ended because its client disconnected
      * @param drainingSince when this process learned that the upstream accepts no new requests
-     * @param drainGrace for how long after that new requests may still be sent
+     * @param drainGrace the time for which new requests may still be sent after that
      */
     public static String sendViolation(
             long startedAt,
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Returns the retry rule that an attempt violates, given an earlier attempt of the same call that may have executed, or null if it
-     * violates none.
+     * Returns the name of the violation if the attempt is an unsafe retry, given an earlier attempt of the same call that may have
+     * executed, otherwise null.
      *
      * @param startedAt when the first byte of the attempt's request was written
      * @param earlierDecidedAt when the earlier attempt was decided on
