--- a/balancer/src/main/java/gorsestack/decision/AdmissionControl.java
+++ b/balancer/src/main/java/gorsestack/decision/AdmissionControl.java
@@ -3,22 +3,23 @@
 import gorsestack.decision.Settings.Product;
 
 /**
- * Decides whether a locality may take a call, and when a rejected one may come back. Danger: when more comes in than
- * the upstreams can do, all of it waits, and all of it is late. What exceeds a locality's limit goes to the next one,
- * what exceeds all is rejected by the first tier; later tiers hold work that is already paid for.
+ * Decides whether a locality may admit a call, and after what delay a rejected client should retry. Without it, when more calls arrive
+ * than the upstreams have capacity for, all of them queue and all are late. Calls over a locality's limit go to the next locality, and
+ * calls over all limits are rejected by the first tier; later tiers do not reject calls, as work has already been spent on them. Used by
+ * {@link BalancingPolicy} and {@link UpstreamSelector} on the policy's thread.
  */
 final class AdmissionControl {
-    /** Stands for products without any value, where a value divides. */
+    /** Lower bound of the highest product value, which is a divisor, for settings whose products have no value. */
     private static final double MIN_BEST_VALUE = 1e-9;
-    /** Of the limit, decided by a product's value where the settings measure value; the cheapest keeps the rest. */
+    /** Fraction of the limit that depends on a product's value, where settings measure value by work; any product keeps the rest. */
     private static final double VALUE_WEIGHT = 0.7;
-    /** How much the weight of the worst-served product in the target lessens that. */
+    /** Factor by which the weight of the worst-served product in the optimization target reduces that fraction. */
     private static final double FAIRNESS_WEIGHT = 2.5;
-    /** Below this minimum limit too few attempts are in flight to limit them; reports decide instead. */
+    /** Minimum limit below which too few attempts are in flight to limit their number, so that load reports decide instead. */
     private static final double MIN_LIMIT_TO_COUNT = 0.4;
-    /** Danger: with all calls rejected no report comes any more, and all stay rejected. */
+    /** Lowest fraction of calls that load reports admit. If all were rejected, no report would arrive and all would stay rejected. */
     private static final double MIN_ADMITTED = 0.05;
-    /** Late enough for capacity to become free, early enough to be in time. */
+    /** Advised retry delay as a fraction of the objective: long enough for capacity to become free, short enough for a response in time. */
     private static final double RETRY_AFTER_PER_SLO = 0.25;
 
     private final Settings.Limits limits;
@@ -28,9 +29,10 @@
     private final boolean usesReports;
     private final double valueWeight;
     private final double bestValue;
-    /** One draw per attempt. Danger: with one per locality hardly any call is rejected, and most leave their zone. */
+    /** Random number drawn once per attempt. With one per locality, hardly any call would be rejected and most would leave their zone. */
     private double sheddingDraw;
 
+    /** Spread of the advised retry delay, in latency objectives; 0 for none. */
     private double retryAfterJitter;
 
     AdmissionControl(Settings settings, FleetQuota fleetQuota, Locality[] localities, SeededRandom random) {
@@ -49,11 +51,12 @@
                 : 0;
     }
 
-    /** Draws once for an attempt, before any locality is asked to admit it. */
+    /** Draws the random number for an attempt, before {@link #admits} is called for any locality. */
     void drawForAttempt() {
         sheddingDraw = usesReports ? random.next() : 0;
     }
 
+    /** Returns whether the locality admits the call, by load reports where this balancer has too few attempts in flight. */
     boolean admits(Locality locality, CallState call, long now) {
         if (usesReports && localities[0].concurrency.minLimit < MIN_LIMIT_TO_COUNT) {
             return admitsByReports(locality.load, call.product);
@@ -61,34 +64,34 @@
         return admitsByLimit(locality.concurrency, call, now);
     }
 
-    /** Rejects more the later the locality is; the cheapest product from half the latency limit on. */
+    /** Rejects a larger fraction the higher the locality's latency is; a product without value from half the latency limit on. */
     private boolean admitsByReports(LocalityLoad load, Product product) {
         double latencyLimit = load.latencyLimit * (1 + product.billedValue() / bestValue) / 2;
         return sheddingDraw < Math.max(MIN_ADMITTED, 2 - load.latencyRatio / latencyLimit);
     }
 
     /**
-     * The limit is lower for products of less value and for calls with less time left. Danger: else a storm of retries
-     * that can hardly be in time takes it all. The mean of the last objective stays within the limit; the present
-     * number may exceed it by its root, as what one of many balancers has in flight varies more than the sum.
+     * Compares the attempts in flight with a limit that is lower for products of less value and for calls with less remaining time. Without
+     * that, a storm of retries that can hardly be in time would use up the limit. The mean over the last objective stays within the limit;
+     * the present number may exceed it by its square root, as the number in flight varies more for one of many balancers than their sum.
      */
     private boolean admitsByLimit(AdaptiveConcurrencyLimit concurrency, CallState call, long now) {
         concurrency.trackInFlight(now, call.product, 0);
         double timeFraction = Math.min(1, (call.deadline - now) / (double) call.product.slo());
         double limit =
                 concurrency.limit * timeFraction * (1 - valueWeight * (1 - call.product.billedValue() / bestValue));
-        // A call whose body is still arriving needs capacity later; the mean says more about that than the present.
+        // A call whose body is still arriving needs capacity later, which the mean predicts better than the present number.
         return concurrency.recentInFlight < limit
                 && (call.bodyIncomplete
                         || concurrency.inFlight < limit + Math.sqrt(limit * (1 - fleetQuota.ofOwnLocality)));
     }
 
-    /** Danger: clients that a fleet rejects while it recovers would all return at once; a jitter of 1 spreads them. */
+    /** Sets the spread of the advised retry delay: without it, clients that a recovering fleet rejects would all retry at once. */
     void setRetryAfterJitter(double jitter) {
         retryAfterJitter = jitter;
     }
 
-    /** After how long a rejected client should retry; 0 gives no advice. */
+    /** Returns the delay in nanoseconds after which a rejected client should retry; 0 gives no advice. */
     long retryAfter(Product product) {
         double slos =
                 retryAfterJitter > 0 ? RETRY_AFTER_PER_SLO + retryAfterJitter * random.next() : RETRY_AFTER_PER_SLO;
--- a/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
+++ b/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
@@ -9,21 +9,22 @@
 import java.util.function.Predicate;
 
 /**
- * All decisions of one balancer. The adapter reports whatever happens through the public methods, with the clock in
- * nanoseconds, which never goes back; the policy acts through {@link PolicyActions} before the method returns. It
- * knows no protocol and does no I/O. Each input affects some calls; for each of them the rules below are tried in
- * order until none applies. The mechanisms are classes of their own, each with its state. See docs/design.md.
+ * Makes all decisions of one balancer. Its adapter (the proxy or the simulator) reports each event through the public methods, with the
+ * time in nanoseconds of a clock that never goes back; the policy acts through {@link PolicyActions} before the method returns. It knows no
+ * protocol, does no I/O and is not thread-safe: the adapter calls all methods on one thread. For each call that an event affects, the rules
+ * below are tried in order until none applies. Each mechanism is a class of its own with its own state. See docs/design.md.
  */
 public final class BalancingPolicy {
-    /** No attempt of a call is exempt from cancellation. */
+    /** Number of the exempt attempt when every attempt of a call is to be cancelled. */
     private static final int NO_ATTEMPT = -1;
 
+    /** Number of positions from which a locality's rotation may start; the position is drawn at random. */
     private static final double ROTATION_STARTS = 1 << 20;
-    /** Steps of the clock by which a response must come before the client's timeout. */
+    /** Clock steps between a call's deadline and the client's timeout. */
     private static final int DEADLINE_MARGIN_STEPS = 2;
-    /** An upstream that has responded to nothing for this part of the objective is checked. */
+    /** The upstream of an attempt is checked for responses after the latency objective divided by this number. */
     private static final int RESPONSE_CHECKS_PER_SLO = 2;
-    /** A success this many times over the locality's mean latency, and over the objective, counts as late. */
+    /** A success is late if its latency exceeds both the objective and this multiple of the locality's mean latency. */
     private static final int LATE_PER_MEAN_LATENCY = 3;
 
     private record Rule(Predicate<CallState> applies, Consumer<CallState> action) {}
@@ -36,7 +37,7 @@
     private final FleetQuota fleetQuota;
 
     final UpstreamTable upstreams = new UpstreamTable();
-    /** The own zone, then the others in the order of the settings; last, upstreams of no known zone. */
+    /** This balancer's zone, then the other zones in the order of the settings, then upstreams of unknown zones. */
     private final Locality[] localities;
 
     private final EndpointWatchSchedule watchSchedule;
@@ -52,19 +53,19 @@
     private long now;
     private long lastTimerToken = EndpointWatchSchedule.TIMER_TOKEN;
 
-    /** Rule 1: one final response before the client's timeout, and nothing after it. The order matters. */
+    /** Rules of a call by precedence. Rule 1: a call gets one final response before the client's timeout, and nothing after it. */
     private final Rule[] rules = {
         new Rule(this::isPastDeadline, this::giveUp),
         new Rule(this::isResponseCheckDue, this::checkResponse),
-        new Rule(this::isWithoutProspect, this::giveUp),
-        new Rule(this::isAttemptDue, this::attempt),
+        new Rule(this::hasNoAttemptLeft, this::giveUp),
+        new Rule(this::isAttemptDue, this::startNextAttempt),
     };
 
     /** Creates a balancer's policy; the same seed and inputs always give the same decisions. */
-    public BalancingPolicy(Settings settings, long seed, long now, PolicyActions out) {
+    public BalancingPolicy(Settings settings, long seed, long now, PolicyActions adapter) {
         this.settings = settings;
         this.now = now;
-        actions = out;
+        actions = adapter;
         fleetQuota = new FleetQuota(settings);
         SeededRandom random = new SeededRandom(seed);
         for (Product product : settings.products()) {
@@ -90,9 +91,9 @@
         }
     }
 
-    /** The endpoint list or a change of it, or the failure of its watch. */
-    public void onEndpointUpdate(long at, EndpointUpdate update) {
-        now = at;
+    /** Applies the endpoint list or a change of it, or schedules a retry after its watch has failed. */
+    public void onEndpointUpdate(long currentTime, EndpointUpdate update) {
+        now = currentTime;
         if (update.kind() == EndpointUpdate.Kind.FAILED) {
             watchSchedule.scheduleRetry(now);
         } else {
@@ -101,53 +102,54 @@
     }
 
     /**
-     * An operator's order about an upstream, whatever discovery says: out of service while back is Long.MAX_VALUE, else
-     * in service and warming up from that time on.
+     * Applies an operator's maintenance order, which overrides discovery: the upstream is out of service if {@code endedAt} is
+     * Long.MAX_VALUE, else in service and warming up from that time on.
      */
-    public void setMaintenance(long at, String id, long endedAt) {
-        now = at;
+    public void setMaintenance(long currentTime, String id, long endedAt) {
+        now = currentTime;
         membership.setMaintenance(id, endedAt, now);
     }
 
-    /** Sets this process's part of the balancer's budgets: 1, or less beside another process of it in an upgrade. */
-    public void setQuota(long at, double to) {
-        now = at;
-        membership.setProcessQuota(to, now);
+    /** Sets this process's fraction of the balancer's budgets: 1, or less while another of its processes runs in an upgrade. */
+    public void setQuota(long currentTime, double quota) {
+        now = currentTime;
+        membership.setProcessQuota(quota, now);
     }
 
-    /** Sets how far the advice on when to retry is spread; at 1 up to five times as long as at 0. */
-    public void setRetryAfterJitter(double to) {
-        admission.setRetryAfterJitter(to);
+    /** Sets how far retry delays advised to clients are spread; with 1 they are up to five times as long as with 0. */
+    public void setRetryAfterJitter(double jitter) {
+        admission.setRetryAfterJitter(jitter);
     }
 
-    /** What a process that takes over begins with. Danger: without it, it rejects calls for some seconds. */
+    /** Returns what this process has learned, for its successor, which would otherwise reject calls for some seconds. */
     public List<LearnedLocality> exportLearned() {
         return Arrays.stream(localities)
                 .map(locality -> locality.exportLearned(now))
                 .toList();
     }
 
-    /** Begins with what another process of this balancer has learned. */
-    public void restoreLearned(long at, List<LearnedLocality> learned) {
-        now = at;
+    /** Replaces the state of the localities by what another process of this balancer has learned. */
+    public void restoreLearned(long currentTime, List<LearnedLocality> learned) {
+        now = currentTime;
         for (int i = 0; i < Math.min(learned.size(), localities.length); i++) {
             localities[i].restoreLearned(learned.get(i), now, fleetQuota.processQuota);
         }
     }
 
-    /** A call of a client; left is the time until its timeout, below 0 if unknown, Long.MAX_VALUE if a body arrives. */
-    public void onApiCall(long at, String id, String product, String tenant, long left) {
-        now = at;
+    /** Handles a client's call; the time until its timeout is below 0 if unknown, Long.MAX_VALUE while its body is still arriving. */
+    public void onApiCall(long currentTime, String id, String product, String tenant, long remainingTime) {
+        now = currentTime;
         CallState call = new CallState(id, ++lastTimerToken, products.get(product));
         if (call.product == null) {
             actions.errored(id);
             return;
         }
-        call.bodyIncomplete = left == Long.MAX_VALUE;
-        call.deadline = call.bodyIncomplete ? left : deadlineAfter(left < 0 ? call.product.clientTimeout() : left);
+        call.bodyIncomplete = remainingTime == Long.MAX_VALUE;
+        call.deadline = call.bodyIncomplete
+                ? remainingTime
+                : deadlineAfter(remainingTime < 0 ? call.product.clientTimeout() : remainingTime);
         hedging.plan(call, now);
-        // Danger: a late response that is worth nothing delays calls that could be in time. Only for calls that
-        // nobody repeats.
+        // A late response without value would only delay calls that can still be in time. Applies to calls that nobody repeats.
         if (!call.bodyIncomplete
                 && call.product.lateBilledValue() <= 0
                 && call.product.repeat() == Settings.Repeat.NON_IDEMPOTENT) {
@@ -159,56 +161,55 @@
         applyRules(call);
     }
 
-    /** The clock moves in steps, and the response has to arrive before the client's timeout. */
-    private long deadlineAfter(long left) {
-        return now + left - DEADLINE_MARGIN_STEPS * settings.clockResolution();
+    /** Returns a time shortly before the client's timeout, as the clock moves in steps and the response must arrive before it. */
+    private long deadlineAfter(long remainingTime) {
+        return now + remainingTime - DEADLINE_MARGIN_STEPS * settings.clockResolution();
     }
 
     /**
-     * Progress of a request body that was incomplete: it can no longer be sent again and, with a time left from 0 on,
-     * it is complete. Danger: an upstream begins with the last byte; before that the attempt must neither use up
-     * capacity nor count as slow.
+     * Handles progress of an incomplete request body: the body can no longer be sent again, and it is complete if the remaining time is
+     * 0 or more. An upstream starts its work at the last byte; until then the attempt must neither use up capacity nor count as slow.
      */
-    public void onRequestBody(long at, String id, long left) {
-        now = at;
+    public void onRequestBody(long currentTime, String id, long remainingTime) {
+        now = currentTime;
         CallState call = calls.get(id);
         if (call == null || call.completed) {
             return;
         }
         call.notReplayable = true;
         applyRules(call);
-        if (left >= 0 && !call.completed) {
-            startOfWork(call, left);
+        if (remainingTime >= 0 && !call.completed) {
+            onBodyComplete(call, remainingTime);
             applyRules(call);
         }
     }
 
-    private void startOfWork(CallState call, long left) {
+    private void onBodyComplete(CallState call, long remainingTime) {
         CallAttempt last = call.lastAttempt();
         call.bodyIncomplete = false;
-        call.deadline = deadlineAfter(left);
+        call.deadline = deadlineAfter(remainingTime);
         last.sentAt = now;
         call.responseCheckAt = now + call.product.slo() / RESPONSE_CHECKS_PER_SLO;
         last.upstream.inFlight += call.attemptsInFlight;
         last.upstream.locality.concurrency.trackInFlight(now, call.product, call.attemptsInFlight);
     }
 
-    /** An attempt ended after that time; closed if the client's exchange has ended as well. */
-    public void onOutcome(long at, String id, int attempt, Outcome outcome, long took, boolean closed) {
-        now = at;
+    /** Handles the end of an attempt; {@code closed} is set if the exchange with the client has ended as well. */
+    public void onOutcome(long currentTime, String id, int attempt, Outcome outcome, long duration, boolean closed) {
+        now = currentTime;
         CallState call = calls.get(id);
         if (call == null || attempt >= call.attemptCount || !call.attempt(attempt).inFlight) {
             return;
         }
-        CallAttempt ended = call.attempt(attempt);
-        ended.inFlight = false;
-        ended.neverExecuted = outcome.provesNotExecuted;
+        CallAttempt endedAttempt = call.attempt(attempt);
+        endedAttempt.inFlight = false;
+        endedAttempt.neverExecuted = outcome.provesNotExecuted;
         call.attemptsInFlight--;
-        int counted = call.bodyIncomplete ? 0 : 1;
-        UpstreamState upstream = ended.upstream;
-        upstream.inFlight -= counted;
-        upstream.locality.concurrency.trackInFlight(now, call.product, -counted);
-        learn(upstream, call.product, outcome, took);
+        int countedAttempts = call.bodyIncomplete ? 0 : 1;
+        UpstreamState upstream = endedAttempt.upstream;
+        upstream.inFlight -= countedAttempts;
+        upstream.locality.concurrency.trackInFlight(now, call.product, -countedAttempts);
+        learn(upstream, call.product, outcome, duration);
         if (IdleConnectionPolicy.shouldClose(upstream, localities[0], selector.recentCalls())) {
             actions.closeIdleConnections(upstream.endpoint.id());
         }
@@ -220,65 +221,65 @@
         applyRules(call);
     }
 
-    /** Updates everything that is learnt from an attempt that ended. */
-    private void learn(UpstreamState upstream, Product product, Outcome outcome, long took) {
+    /** Updates everything that is learned from an attempt that has ended. */
+    private void learn(UpstreamState upstream, Product product, Outcome outcome, long duration) {
         Locality locality = upstream.locality;
         AdaptiveConcurrencyLimit concurrency = locality.concurrency;
         double weight = LatencyEstimator.sampleWeight(upstream, product, now);
-        boolean late = took > Math.max(1, LATE_PER_MEAN_LATENCY * concurrency.latencyRatio) * product.slo();
+        boolean late = duration > Math.max(1, LATE_PER_MEAN_LATENCY * concurrency.latencyRatio) * product.slo();
         outliers.onOutcome(upstream, outcome, late, now);
         if (outcome == Outcome.FULFILLED) {
             retryBudget.onResponse();
             locality.countResponse(now);
         }
         if (outcome == Outcome.TIMED_OUT) {
-            reports.onSilence(upstream, took, now);
+            reports.onSilence(upstream, duration, now);
         }
-        // An error says nothing about the latency of a response, an attempt cut short only that it is longer.
-        if (outcome == Outcome.FULFILLED || took > concurrency.latencyRatio * product.slo()) {
-            concurrency.onLatency(now, product, took);
-            latencies.onLatency(upstream, product, took, weight);
+        // The duration of a quick error is no response latency; that of an attempt cut short is only a lower bound of it.
+        if (outcome == Outcome.FULFILLED || duration > concurrency.latencyRatio * product.slo()) {
+            concurrency.onLatency(now, product, duration);
+            latencies.onLatency(upstream, product, duration, weight);
         } else if (outcome == Outcome.ERROR) {
             latencies.onError(upstream, weight);
         }
-        reports.onOutcome(upstream, product, outcome, took, now);
+        reports.onOutcome(upstream, product, outcome, duration, now);
     }
 
-    /** An upstream's load report; it comes before the outcome that it came with. Malformed ones are ignored. */
-    public void onLoadReport(long at, String upstream, double[] row) {
-        now = at;
+    /** Handles an upstream's load report, before the outcome of the attempt that carried it. Malformed reports are ignored. */
+    public void onLoadReport(long currentTime, String upstream, double[] row) {
+        now = currentTime;
         reports.onReport(upstream, row, now);
     }
 
-    /** A message of another balancer. */
-    public void onPeerMessage(long at, byte[] message) {
-        now = at;
+    /** Handles a message from another balancer. */
+    public void onPeerMessage(long currentTime, byte[] message) {
+        now = currentTime;
         reports.onPeerMessage(message, now);
     }
 
-    /** A streamed response has begun: from here on the call is between the client and that attempt. */
-    public void onResponseStarted(long at, String id, int attempt) {
-        now = at;
+    /** Handles the start of a streamed response: the policy cancels the call's other attempts and takes no further part in it. */
+    public void onResponseStarted(long currentTime, String id, int attempt) {
+        now = currentTime;
         abandon(calls.get(id), attempt);
     }
 
-    /** The client has closed its connection; nobody waits for the response any more. */
-    public void onClientDisconnected(long at, String id) {
-        now = at;
+    /** Handles the disconnect of a client, which no longer waits for the response. */
+    public void onClientDisconnected(long currentTime, String id) {
+        now = currentTime;
         abandon(calls.get(id), NO_ATTEMPT);
     }
 
-    /** Ends the policy's part in a call without a response; all attempts but one are cancelled. */
-    private void abandon(CallState call, int exempt) {
+    /** Completes a call without sending a response, and cancels all its attempts but the exempt one. */
+    private void abandon(CallState call, int exemptAttempt) {
         if (call != null && !call.completed) {
-            complete(call, exempt);
+            complete(call, exemptAttempt);
             applyRules(call);
         }
     }
 
-    /** A timer of {@link PolicyActions#scheduleTimer} fired. */
-    public void onTimer(long at, long token) {
-        now = at;
+    /** Handles a timer that {@link PolicyActions#scheduleTimer} has scheduled. */
+    public void onTimer(long currentTime, long token) {
+        now = currentTime;
         if (token == EndpointWatchSchedule.TIMER_TOKEN) {
             actions.watchEndpoints();
             return;
@@ -290,7 +291,7 @@
         }
     }
 
-    /** Tries the rules in order until none applies, then schedules a timer for when one next may. */
+    /** Applies the rules in order until none applies, then schedules a timer for the time at which one may apply next. */
     private void applyRules(CallState call) {
         for (int i = 0; !call.completed && i < rules.length; i++) {
             if (rules[i].applies.test(call)) {
@@ -299,7 +300,7 @@
             }
         }
         if (call.completed && call.attemptsInFlight == 0) {
-            forget(call);
+            release(call);
         }
         long due = Math.min(
                 call.responseCheckAt,
@@ -310,7 +311,7 @@
         }
     }
 
-    private void forget(CallState call) {
+    private void release(CallState call) {
         calls.remove(call.id);
         callsByTimer.remove(call.timerToken);
         for (int i = 0; i < call.attemptCount; i++) {
@@ -326,7 +327,7 @@
         return now >= call.responseCheckAt;
     }
 
-    private boolean isWithoutProspect(CallState call) {
+    private boolean hasNoAttemptLeft(CallState call) {
         return call.attemptsInFlight == 0 && !hedging.mayAttemptAgain(call, now);
     }
 
@@ -334,7 +335,7 @@
         return hedging.isAttemptDue(call, now) && hedging.mayAttemptAgain(call, now);
     }
 
-    /** Checks whether the newest attempt's upstream has responded to anything since that attempt was sent. */
+    /** Checks whether the upstream of the newest attempt has responded to anything since that attempt was sent. */
     private void checkResponse(CallState call) {
         call.responseCheckAt = Long.MAX_VALUE;
         CallAttempt last = call.lastAttempt();
@@ -344,8 +345,8 @@
         }
     }
 
-    /** Starts the call's next attempt if the budget covers it and an upstream takes it. */
-    private void attempt(CallState call) {
+    /** Starts the call's next attempt if the retry budget covers it and an upstream is available for it. */
+    private void startNextAttempt(CallState call) {
         hedging.scheduleNext(call, now);
         double cost = retryBudget.cost(call);
         boolean allowed = retryBudget.covers(cost) && !hedging.isHedgeForbidden(call);
@@ -364,11 +365,11 @@
         call.addAttempt(new CallAttempt(upstream, now));
         call.responseCheckAt =
                 call.bodyIncomplete ? Long.MAX_VALUE : now + call.product.slo() / RESPONSE_CHECKS_PER_SLO;
-        int counted = call.bodyIncomplete ? 0 : 1;
-        upstream.inFlight += counted;
+        int countedAttempts = call.bodyIncomplete ? 0 : 1;
+        upstream.inFlight += countedAttempts;
         upstream.attemptsSinceReport++;
         upstream.referencingCalls++;
-        upstream.locality.concurrency.trackInFlight(now, call.product, counted);
+        upstream.locality.concurrency.trackInFlight(now, call.product, countedAttempts);
         upstream.slowStartPermit = false;
         actions.startAttempt(call.id, upstream.endpoint.id(), call.deadline - now);
     }
@@ -383,11 +384,11 @@
         complete(call, NO_ATTEMPT);
     }
 
-    /** The client has its response or needs none: cancels what is in flight but for one attempt. */
-    private void complete(CallState call, int exempt) {
+    /** Marks a call as completed and cancels its attempts in flight, except the exempt one, where the settings allow it. */
+    private void complete(CallState call, int exemptAttempt) {
         call.completed = true;
         for (int i = 0; settings.limits().mayCancel() && i < call.attemptCount; i++) {
-            if (call.attempt(i).inFlight && i != exempt) {
+            if (call.attempt(i).inFlight && i != exemptAttempt) {
                 actions.cancelAttempt(call.id, i);
             }
         }
--- a/balancer/src/main/java/gorsestack/decision/CallAttempt.java
+++ b/balancer/src/main/java/gorsestack/decision/CallAttempt.java
@@ -1,13 +1,13 @@
 package gorsestack.decision;
 
-/** One attempt of a call at one upstream. */
+/** One attempt of a call at one upstream. Belongs to a {@link CallState}; used on the policy's thread only. */
 final class CallAttempt {
     final UpstreamState upstream;
-    /** When it was sent, or when the request's last byte was, if the body was still arriving at the start. */
+    /** Time in nanoseconds at which the attempt started, or the request body was complete if it was still arriving then. */
     long sentAt;
 
     boolean inFlight = true;
-    /** Its outcome proves that the upstream never began the work. */
+    /** Whether the outcome proves that the upstream never began the work. */
     boolean neverExecuted;
 
     CallAttempt(UpstreamState upstream, long sentAt) {
--- a/balancer/src/main/java/gorsestack/decision/CallState.java
+++ b/balancer/src/main/java/gorsestack/decision/CallState.java
@@ -2,36 +2,40 @@
 
 import gorsestack.decision.Settings.Product;
 
-/** One API call that is not complete or still has attempts in flight: what was requested and what was done for it. */
+/**
+ * The state of one API call that is not completed or still has attempts in flight: its request and its attempts. {@link BalancingPolicy}
+ * owns it; used on the policy's thread only. Times are in nanoseconds.
+ */
 final class CallState {
-    /** Bounds attempts whatever the settings allow: eight that provably never executed mean that no upstream is there. */
+    /** Upper bound whatever the settings allow: after eight attempts that provably never executed, no upstream is reachable. */
     static final int MAX_ATTEMPTS = 8;
 
     final String id;
-    /** Identifies this call's timer. */
+    /** Token of this call's timers. */
     final long timerToken;
 
     final Product product;
-    /** When the client must have its response. */
+    /** Time by which the final response must be sent; Long.MAX_VALUE while the request body is arriving. */
     long deadline;
-    /** Attempts allowed while an earlier one, which may have executed, is in flight. */
+    /** Number of attempts allowed while one is in flight and one may have executed. */
     int attemptLimit;
-    /** Time from one attempt to the next while no response arrives. */
+    /** Time from the start of one attempt to the start of the next while no response arrives. */
     long hedgingDelay;
-    /** The request body is still arriving; the upstream has not begun the work. */
+    /** Whether the request body is still arriving, so that no upstream has begun the work. */
     boolean bodyIncomplete;
-    /** The request body was forwarded without being kept, so no further attempt can send it. */
+    /** Whether the request body was forwarded without being buffered, so that no further attempt can send it. */
     boolean notReplayable;
 
+    /** Time from which the next attempt may start while another is in flight. */
     long nextAttemptAt;
-    /** When to check whether the upstream of the newest attempt responds to anything. */
+    /** Time at which to check whether the newest attempt's upstream has responded to anything; Long.MAX_VALUE for never. */
     long responseCheckAt = Long.MAX_VALUE;
-    /** When the earliest timer that is scheduled for this call fires. */
+    /** Time of the earliest timer that is scheduled for this call; Long.MAX_VALUE if there is none. */
     long timerAt = Long.MAX_VALUE;
 
     int attemptCount;
     int attemptsInFlight;
-    /** The client has its response, or has disconnected. */
+    /** Whether the policy's part in the call is over: the client has a response, streamed ones from their start, or has disconnected. */
     boolean completed;
 
     private final CallAttempt[] attempts = new CallAttempt[MAX_ATTEMPTS];
@@ -55,7 +59,7 @@
         attemptsInFlight++;
     }
 
-    /** The first attempt that may have executed, in flight or not; null if there is none. */
+    /** Returns the first attempt that may have executed, in flight or not; null if there is none. */
     CallAttempt firstPossiblyExecutedAttempt() {
         for (int i = 0; i < attemptCount; i++) {
             if (!attempts[i].neverExecuted) {
--- a/balancer/src/main/java/gorsestack/decision/FleetQuota.java
+++ b/balancer/src/main/java/gorsestack/decision/FleetQuota.java
@@ -1,11 +1,15 @@
 package gorsestack.decision;
 
-/** The part of the fleet's budgets that this process may use, as no balancer sees what the others send. */
+/**
+ * The quota of the fleet's budgets that this process may use, as no balancer sees what the others send. Shared by the classes of this
+ * package on the policy's thread.
+ */
 final class FleetQuota {
+    /** Number of balancers in the tier. */
     final int instances;
-    /** This balancer's part of its own locality: the balancers of a zone share the zone's upstreams. */
+    /** This balancer's fraction of its own locality's budgets: the balancers of a zone share the zone's upstreams. */
     final double ofOwnLocality;
-    /** This process's part of the balancer's budgets: all, or half beside another process in an upgrade. */
+    /** This process's fraction of the balancer's budgets: 1, or 0.5 while another process of the balancer runs in an upgrade. */
     double processQuota = 1;
 
     FleetQuota(Settings settings) {
@@ -13,7 +17,7 @@
         ofOwnLocality = Math.min(1, Math.max(1.0, settings.zones().size()) / instances);
     }
 
-    /** This balancer's part of a locality; 0 is the own one, and all balancers share the others. */
+    /** Returns this balancer's fraction of a locality's budgets; 0 is its own locality, and all balancers share the others. */
     double ofLocality(int locality) {
         return locality == 0 ? ofOwnLocality : 1.0 / instances;
     }
--- a/balancer/src/main/java/gorsestack/decision/HedgingPolicy.java
+++ b/balancer/src/main/java/gorsestack/decision/HedgingPolicy.java
@@ -2,11 +2,14 @@
 
 import gorsestack.decision.Settings.Repeat;
 
-/** Decides when a call's next attempt starts and whether one is allowed. Its state is in {@link CallState}. */
+/**
+ * Decides whether a call may have a further attempt and when it starts: a hedged request while another attempt is in flight, or a retry.
+ * Used by {@link BalancingPolicy} on its thread; the state is in {@link CallState}.
+ */
 final class HedgingPolicy {
-    /** The second attempt starts early enough for most of them to meet the latency objective. */
+    /** Longest hedging delay as a fraction of the latency objective, so that most second attempts still meet the objective. */
     private static final double MAX_DELAY_PER_SLO = 0.6;
-    /** Attempts while one that may have executed is in flight. */
+    /** Maximum number of attempts while one is in flight and one may have executed. */
     private static final int MAX_CONCURRENT_ATTEMPTS = 2;
 
     private final Settings.Limits limits;
@@ -15,7 +18,7 @@
         this.limits = limits;
     }
 
-    /** Plans a new call's attempts: one where a repeat could do harm, else two. */
+    /** Sets a new call's attempt limit and hedging delay: one attempt where a repeat could do harm or the body is incomplete, else two. */
     void plan(CallState call, long now) {
         boolean single = call.bodyIncomplete || call.product.repeat() == Repeat.NON_IDEMPOTENT;
         call.attemptLimit = single ? 1 : Math.min(MAX_CONCURRENT_ATTEMPTS, limits.maxAttempts());
@@ -23,10 +26,10 @@
                 Math.min((call.deadline - now) / call.attemptLimit, (long) (MAX_DELAY_PER_SLO * call.product.slo()));
     }
 
-    /** Whether a further attempt is allowed at all, now or later. */
+    /** Returns whether a further attempt is allowed at all, now or later. */
     boolean mayAttemptAgain(CallState call, long now) {
-        // Danger: after two quick failures most of the call's time would stay unused. So the limit of two
-        // counts only while an attempt that may have executed is in flight.
+        // The limit applies only while an attempt is in flight and one may have executed. Otherwise two quick failures
+        // would end the call with most of its time unused.
         boolean atLimit = call.attemptCount >= call.attemptLimit
                 && call.attemptsInFlight > 0
                 && call.firstPossiblyExecutedAttempt() != null;
@@ -38,17 +41,17 @@
         return RepeatSafety.mayRepeat(call, now);
     }
 
-    /** Whether an attempt that is allowed should start now. */
+    /** Returns whether an attempt that is allowed should start now. */
     boolean isAttemptDue(CallState call, long now) {
         return now >= call.nextAttemptAt || call.attemptsInFlight == 0;
     }
 
-    /** An attempt is about to start: sets the time of the one after it. */
+    /** Sets the time of the attempt after the one that is about to start. */
     void scheduleNext(CallState call, long now) {
         call.nextAttemptAt = (call.attemptCount == 0 ? now : call.nextAttemptAt) + call.hedgingDelay;
     }
 
-    /** Whether the settings forbid an attempt beside another one in flight. */
+    /** Returns whether the settings forbid an attempt because another one is in flight. */
     boolean isHedgeForbidden(CallState call) {
         return !limits.hedgingAllowed() && call.attemptsInFlight > 0;
     }
--- a/balancer/src/main/java/gorsestack/decision/LatencyEstimator.java
+++ b/balancer/src/main/java/gorsestack/decision/LatencyEstimator.java
@@ -3,17 +3,21 @@
 import gorsestack.decision.Settings.Product;
 
 /**
- * Keeps the mean latency of each upstream from this balancer's own attempts, as a ratio to the latency objective. With
- * load reports {@link LoadReports} sets it instead. Its state is in {@link UpstreamState} and {@link UpstreamClass}.
+ * Estimates the mean latency of each upstream from this balancer's own attempts, as a ratio to the latency objective. Where load reports
+ * are used, {@link LoadReports} sets it instead. Used by {@link BalancingPolicy} on its thread; the state is in {@link UpstreamState} and
+ * {@link UpstreamClass}.
  */
 final class LatencyEstimator {
-    /** The mean covers about eight attempts, or two objectives where one of many balancers sees fewer than that: old
-     * responses say nothing about now, and what is noise to one balancer evens out over many. */
+    /**
+     * Smallest weight of a response: the mean covers about eight attempts, or two objectives where one of many balancers sees fewer than
+     * that. Old responses do not describe the present, and the noise of single balancers averages out over many.
+     */
     private static final double MIN_SAMPLE_WEIGHT = 0.125;
 
     private static final double MAX_SAMPLE_WEIGHT = 0.3;
-    private static final double SLOS_OF_A_FULL_WEIGHT = 2;
-    /** Few attempts say little, so a single one counts at most this. */
+    /** Latency objectives since the last response after which a response would have the weight 1, before the bounds above. */
+    private static final double SLOS_PER_FULL_WEIGHT = 2;
+    /** Upper bound of a latency sample, as one of few attempts is weak evidence. */
     private static final double MAX_LATENCY_RATIO = 2;
 
     private final boolean usesReports;
@@ -22,12 +26,13 @@
         this.usesReports = usesReports;
     }
 
-    /** The weight of a response that arrives now. */
+    /** Returns the weight of a response that arrives now. */
     static double sampleWeight(UpstreamState upstream, Product product, long now) {
-        double slos = (now - upstream.lastResponseAt) / (SLOS_OF_A_FULL_WEIGHT * product.slo());
+        double slos = (now - upstream.lastResponseAt) / (SLOS_PER_FULL_WEIGHT * product.slo());
         return Math.max(MIN_SAMPLE_WEIGHT, Math.min(MAX_SAMPLE_WEIGHT, slos));
     }
 
+    /** Updates the estimates of an upstream and of its class; the first response begins with the typical latency of the class. */
     void onLatency(UpstreamState upstream, Product product, long latency, double weight) {
         double ratio = Math.min(MAX_LATENCY_RATIO, latency / (double) product.slo());
         upstream.upstreamClass.onLatency(ratio);
@@ -39,7 +44,7 @@
         }
     }
 
-    /** Danger: an upstream that quickly fails half its calls, readmitted by the other half, would be the fastest. */
+    /** Counts an error as the highest latency: an upstream that quickly fails half its calls and is readmitted by the rest is not fast. */
     void onError(UpstreamState upstream, double weight) {
         upstream.latencyRatio += (MAX_LATENCY_RATIO - upstream.latencyRatio) * weight;
     }
--- a/balancer/src/main/java/gorsestack/decision/PolicyActions.java
+++ b/balancer/src/main/java/gorsestack/decision/PolicyActions.java
@@ -1,34 +1,35 @@
 package gorsestack.decision;
 
 /**
- * What the policy asks its adapter to do. The adapter of one protocol implements it; every action takes effect at once.
+ * The actions that {@link BalancingPolicy} requires of its adapter. The proxy and the simulator implement them. They are called on the
+ * policy's thread, and each takes effect at once. Times are in nanoseconds.
  */
 public interface PolicyActions {
 
-    /** Sends the call's next attempt, numbered from 0, which times out after that many nanoseconds. */
+    /** Sends the call's next attempt, which times out after {@code timeout}; a call's attempts are numbered from 0. */
     void startAttempt(String apiCall, String upstream, long timeout);
 
     /** Cancels an attempt that is in flight. */
     void cancelAttempt(String apiCall, int attempt);
 
-    /** Final response: the client gets the response to this attempt. */
+    /** Ends the call: the client receives the response to this attempt. */
     void fulfilled(String apiCall, int attempt);
 
-    /** Final response: retrying is harmless, advised after that many nanoseconds; 0 gives no advice. */
+    /** Ends the call with a rate-limit response: a retry is harmless and is advised after {@code retryAfter}; 0 gives no advice. */
     void rateLimited(String apiCall, long retryAfter);
 
-    /** Final response: an error, which does not say whether the call has taken effect. */
+    /** Ends the call with an error, which leaves open whether the call has taken effect. */
     void errored(String apiCall);
 
-    /** Calls {@link BalancingPolicy#onTimer} with this token at that time. */
-    void scheduleTimer(long token, long at);
+    /** Schedules a call of {@link BalancingPolicy#onTimer} with this token. */
+    void scheduleTimer(long token, long dueAt);
 
-    /** Sends another balancer, by its index, at most 256 bytes, which may be lost. */
+    /** Sends a message of at most 256 bytes, which may be lost, to the balancer with this index. */
     void sendToPeer(int peer, byte[] message);
 
     /** Closes the idle connections to an upstream. */
     void closeIdleConnections(String upstream);
 
-    /** Starts a watch of the endpoint list; discovery responds with one update. */
+    /** Starts a watch of the endpoint list, to which discovery responds with one update. */
     void watchEndpoints();
 }
--- a/balancer/src/main/java/gorsestack/decision/RepeatSafety.java
+++ b/balancer/src/main/java/gorsestack/decision/RepeatSafety.java
@@ -5,13 +5,13 @@
 import gorsestack.decision.Settings.Scope;
 
 /**
- * Rule 2: no call takes effect twice. The one place that decides whether, where and by whom a call may be repeated
- * once an attempt of it may have executed. It has no state.
+ * Rule 2: no call takes effect twice. Decides whether, where and by whom a call may be repeated once an attempt of it may have executed; no
+ * other class decides that. Used by the classes of this package; stateless.
  */
 final class RepeatSafety {
     private RepeatSafety() {}
 
-    /** Whether another attempt is safe at any upstream at all. */
+    /** Returns whether another attempt may be safe at some upstream. */
     static boolean mayRepeat(CallState call, long now) {
         CallAttempt first = call.firstPossiblyExecutedAttempt();
         return first == null
@@ -19,7 +19,7 @@
                 || (call.product.repeat() == Repeat.DEDUPLICATED && now - first.sentAt < call.product.repeatWindow());
     }
 
-    /** Whether an attempt at this upstream is safe: a deduplicated call goes only where its repeat is recognized. */
+    /** Returns whether an attempt at this upstream is safe: a deduplicated call goes only where its repeat is recognized. */
     static boolean isSafeAt(Product product, CallAttempt firstPossiblyExecuted, UpstreamState upstream) {
         if (firstPossiblyExecuted == null || product.repeat() == Repeat.IDEMPOTENT || product.scope() == Scope.ALL) {
             return true;
@@ -29,7 +29,7 @@
         return product.scope() == Scope.ZONE ? first.zone().equals(next.zone()) : first.cell() == next.cell();
     }
 
-    /** Whether the client may repeat the call, through any balancer: a rate-limit response promises that it may. */
+    /** Returns whether the client may repeat the call through any balancer, which a rate-limit response promises. */
     static boolean mayClientRepeat(CallState call) {
         return call.firstPossiblyExecutedAttempt() == null
                 || call.product.repeat() == Repeat.IDEMPOTENT
--- a/balancer/src/main/java/gorsestack/decision/SeededRandom.java
+++ b/balancer/src/main/java/gorsestack/decision/SeededRandom.java
@@ -2,18 +2,21 @@
 
 import java.util.zip.CRC32;
 
-/** A pseudo-random generator from a seed and a counter: equal seeds give equal draws at every replay. */
+/**
+ * A pseudo-random generator that hashes a seed and a counter, so that equal seeds give equal draws at every replay. Used for all random
+ * decisions; not thread-safe.
+ */
 public final class SeededRandom {
     private final CRC32 crc = new CRC32();
     private final long seed;
     private long draws;
 
-    /** Creates a generator whose draws depend on the seed and their number alone. */
+    /** Creates a generator whose draws depend only on the seed and the number of earlier draws. */
     public SeededRandom(long seed) {
         this.seed = seed;
     }
 
-    /** A number from 0 up to 1. */
+    /** Returns a number from 0 (inclusive) to 1 (exclusive). */
     public double next() {
         crc.reset();
         draws++;
--- a/balancer/src/main/java/gorsestack/decision/Settings.java
+++ b/balancer/src/main/java/gorsestack/decision/Settings.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * The configuration of one balancer, as far as its decisions depend on it. Times are in nanoseconds.
+ * The part of one balancer's configuration on which its decisions depend. Immutable; {@link BalancingPolicy} is created with it. Times are
+ * in nanoseconds.
  *
  * @param instanceIndex this balancer's index among the instances of its tier
  * @param instances the number of balancers in its tier
- * @param tier 0 for the first tier, which takes the clients' calls
+ * @param tier 0 for the first tier, which receives the clients' calls
  * @param zone this balancer's zone
- * @param zones all zones, in the order in which traffic leaves to them
- * @param watchesEndpoints whether the endpoint list has to be watched, else it is pushed
- * @param nominalWeights whether endpoints have nominal sizes
+ * @param zones all zones, in the order in which traffic spills over to them
+ * @param watchesEndpoints whether the balancer has to watch the endpoint list; otherwise the list is pushed to it
+ * @param nominalWeights whether endpoints have nominal weights
  * @param valueByWork whether a product's value is measured by the work done for it
- * @param worstProductWeight the weight of the worst-served product in the target
- * @param clockResolution the resolution of the clock
+ * @param worstProductWeight the weight of the worst-served product in the optimization target
+ * @param clockResolution the length of one step of the clock
  */
 public record Settings(
         int instanceIndex,
@@ -32,39 +33,39 @@
         double worstProductWeight,
         long clockResolution) {
 
-    /** What a repeated request may do. */
+    /** The effect of a repeated request. */
     public enum Repeat {
-        /** The same as one. */
+        /** A repeat has the same effect as a single request. */
         IDEMPOTENT,
-        /** Nothing, within the product's window and scope: upstreams recognize it. */
+        /** A repeat has no effect within the product's window and scope, as upstreams recognize it. */
         DEDUPLICATED,
-        /** Harm. */
+        /** A repeat may do harm. */
         NON_IDEMPOTENT
     }
 
-    /** Which upstreams recognize a repeat of a deduplicated call. */
+    /** The upstreams that recognize a repeat of a deduplicated call. */
     public enum Scope {
         /** All upstreams. */
         ALL,
-        /** Those of the first attempt's zone. */
+        /** The upstreams of the first attempt's zone. */
         ZONE,
-        /** Those of the first attempt's cell. */
+        /** The upstreams of the first attempt's cell. */
         CELL
     }
 
-    /** A zone's index among the localities: the own one first, the others in their order from there, last an unknown one. */
+    /** Returns a zone's index among the localities: this balancer's own is first, the others follow in order, unknown ones are last. */
     int localityOf(String endpointZone) {
         int own = Math.max(0, zones.indexOf(zone));
-        int place = zones.indexOf(endpointZone);
-        return place < 0 ? zones.size() : (place - own + zones.size()) % zones.size();
+        int position = zones.indexOf(endpointZone);
+        return position < 0 ? zones.size() : (position - own + zones.size()) % zones.size();
     }
 
-    /** Whether upstreams report their load; else a balancer goes by its own attempts. */
+    /** Returns whether upstreams report their load; otherwise a balancer relies on its own attempts. */
     boolean usesReports() {
         return reports.inFlight() >= 0;
     }
 
-    /** The same with repeat windows shorter by what an attempt may take from the decision to its last byte. */
+    /** Returns these settings with repeat windows shortened by the longest time from the decision on an attempt to its last byte. */
     public Settings repeatsWithin(long margin) {
         List<Product> all = products.stream()
                 .map(p -> new Product(
@@ -97,11 +98,11 @@
     /**
      * One kind of API call.
      *
-     * @param repeatWindow how long upstreams recognize a repeat
+     * @param repeatWindow the time for which upstreams recognize a repeat
      * @param slo the latency objective
-     * @param clientTimeout how long a client waits that does not say so
-     * @param billedValue what a response in time is worth
-     * @param lateBilledValue what a response after the objective is worth
+     * @param clientTimeout the timeout of a client that does not send one
+     * @param billedValue the value of a response within the objective
+     * @param lateBilledValue the value of a response after the objective
      */
     public record Product(
             String name,
@@ -114,12 +115,13 @@
             double lateBilledValue) {}
 
     /**
-     * What the operator allows.
+     * Limits that the operator sets.
      *
-     * @param maxAttempts attempts of one call
+     * @param maxAttempts the maximum number of attempts of one call
      * @param mayCancel whether attempts may be cancelled
-     * @param hedgingAllowed whether an attempt may start beside another one in flight
-     * @param retryAfter whether rate-limit responses say when to retry
+     * @param hedgingAllowed whether an attempt may start while another one of the same call is in flight
+     * @param retryAfter whether rate-limit responses advise when to retry
+     * @param maxRetryAfter the longest delay advised
      * @param peerMessagesAllowed whether balancers exchange messages
      */
     public record Limits(
@@ -130,23 +132,23 @@
             long maxRetryAfter,
             boolean peerMessagesAllowed) {}
 
-    /** A load report's columns, and which hold the calls in flight and the responses a second; -1 for none. */
+    /** The columns of a load report, and the indices of those with the calls in flight and the responses per second; -1 for none. */
     public record Reports(List<String> columns, int inFlight, int rate) {
-        /** No upstream has as many calls in flight, or as many responses a second. */
+        /** Values from here on are implausible: no upstream has as many calls in flight, or as many responses per second. */
         private static final double MAX_VALUE = 1e9;
 
-        /** Upstreams send no reports. */
+        /** The setting for upstreams that send no reports. */
         public static final Reports NONE = new Reports(List.of(), -1, -1);
 
-        /** Calls in flight; -1 where the row does not have them, or not as a plausible number. */
+        /** Returns the calls in flight; -1 if the row holds no plausible number of them. */
         double inFlightIn(double[] row) {
             return value(row, inFlight);
         }
 
-        /** Responses a second; -1 where reports do not have them, NaN where this row should have them and has not. */
+        /** Returns the responses per second; -1 if reports have no such column, NaN if the row lacks a plausible number in it. */
         double rateIn(double[] row) {
-            double found = value(row, rate);
-            return rate >= 0 && found < 0 ? Double.NaN : found;
+            double responsesPerSecond = value(row, rate);
+            return rate >= 0 && responsesPerSecond < 0 ? Double.NaN : responsesPerSecond;
         }
 
         private static double value(double[] row, int column) {
@@ -156,13 +158,13 @@
     }
 
     /**
-     * Rules that a deployment sets.
+     * Parameters of discovery and of slow start that a deployment sets.
      *
      * @param watchDeadline the time within which the endpoint list has to be requested
-     * @param slowStartTime how long an upstream warms up after its start
-     * @param initialCapacityFraction the fraction of its capacity that it has at its start
-     * @param overloadMultiple the multiple of its present capacity that makes it fall over
-     * @param overloadWindow the span over which attempts to it are summed up for that
+     * @param slowStartTime the time for which an upstream warms up after its start
+     * @param initialCapacityFraction the fraction of its capacity that an upstream has at its start
+     * @param overloadMultiple the multiple of its present capacity at which an upstream fails from overload
+     * @param overloadWindow the window over which attempts to an upstream are summed up for that multiple
      */
     public record Rules(
             long watchDeadline,
--- a/balancer/src/main/java/gorsestack/decision/package-info.java
+++ b/balancer/src/main/java/gorsestack/decision/package-info.java
@@ -1,12 +1,11 @@
 /**
- * The decisions of one balancer, without I/O, clock or threads. {@link gorsestack.decision.BalancingPolicy} takes the
- * inputs and applies the rules; each mechanism is a class of its own with its state. Discovery's and operators' changes
- * arrive in {@link gorsestack.decision.FleetMembership}; the state of upstreams is in
- * {@link gorsestack.decision.UpstreamTable} and {@link gorsestack.decision.Locality}, that of a call in
- * {@link gorsestack.decision.CallState}. All randomness comes from one seeded generator in a fixed order, so equal
- * inputs give equal decisions.
+ * Makes the decisions of one balancer, without I/O, clock or threads. {@link gorsestack.decision.BalancingPolicy} receives the inputs and
+ * applies the rules; each mechanism is a class of its own with its own state. {@link gorsestack.decision.FleetMembership} applies the
+ * changes that discovery and operators make; {@link gorsestack.decision.UpstreamTable} and {@link gorsestack.decision.Locality} hold the
+ * state of upstreams, {@link gorsestack.decision.CallState} that of a call. All randomness comes from one seeded generator in a fixed
+ * order, so equal inputs give equal decisions.
  *
- * <p>Terms: the latency <i>objective</i> (SLO) is a product's; latencies are kept as ratios to it. An upstream is
- * <i>ejected</i> while it is taken to be unhealthy and <i>warming up</i> during slow start.
+ * <p>Terms: each product has a latency <i>objective</i> (SLO), and latencies are kept as ratios to it. An upstream is <i>ejected</i> while
+ * it is considered unhealthy, and <i>warming up</i> during slow start.
  */
 package gorsestack.decision;
