--- a/balancer/src/test/java/gorsestack/decision/AdaptiveConcurrencyLimitTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdaptiveConcurrencyLimitTest.java
@@ -11,12 +11,12 @@
 import gorsestack.decision.Settings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** How a locality's limit follows latency. */
+/** Tests that a locality's concurrency limit follows latency. */
 class AdaptiveConcurrencyLimitTest {
     private static final Product PRODUCT = PolicySimulation.product("p", Repeat.IDEMPOTENT, Scope.ALL);
 
-    /** What so many attempts of the same latency, one each 5 ms, make of a limit that is fully used. */
-    private static AdaptiveConcurrencyLimit after(int attempts, long latency) {
+    /** Returns a fully used limit after this number of attempts, one every 5 ms, that all have the same latency. */
+    private static AdaptiveConcurrencyLimit limitAfter(int attempts, long latency) {
         AdaptiveConcurrencyLimit concurrency = new AdaptiveConcurrencyLimit();
         concurrency.setMinLimit(10);
         concurrency.inFlight = 1000;
@@ -27,23 +27,23 @@
     }
 
     @Test
-    void increasesWhileLatencyIsLowAndDecreasesToItsMinimumOtherwise() {
-        assertEquals(14 + 100 * 0.05, after(100, 40 * MS).limit, 1e-9);
-        assertEquals(10, after(1000, 700 * MS).limit);
-        assertTrue(after(1, 700 * MS).limit >= 0.85 * 14, "one cut at a time");
+    void increasesLimitWhileLatencyIsLowAndElseDecreasesItToMinimum() {
+        assertEquals(14 + 100 * 0.05, limitAfter(100, 40 * MS).limit, 1e-9);
+        assertEquals(10, limitAfter(1000, 700 * MS).limit);
+        assertTrue(limitAfter(1, 700 * MS).limit >= 0.85 * 14, "a single slow attempt may decrease the limit only once");
     }
 
     @Test
-    void keepsALimitThatIsNotUsed() {
-        AdaptiveConcurrencyLimit concurrency = after(0, 0);
+    void doesNotIncreaseUnusedLimit() {
+        AdaptiveConcurrencyLimit concurrency = limitAfter(0, 0);
         concurrency.inFlight = 1;
         concurrency.onLatency(1000 * MS, PRODUCT, 40 * MS);
         assertEquals(14, concurrency.limit);
     }
 
-    /** Danger: a few attempts that hang raise the mean of a locality that is fast, and its limit falls to the minimum. */
+    /** Guards against a limit that falls to its minimum because a few attempts that hang raise the mean latency of a fast locality. */
     @Test
-    void aFewHungAttemptsDoNotLowerTheLimit() {
+    void keepsLimitWhenFewAttemptsHang() {
         PolicySimulation play = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         for (int i = 0; i < 2000; i++) {
             play.call("c" + i, "once", 700 * MS);
@@ -52,17 +52,17 @@
             }
             play.runTo(play.now + 3 * MS);
         }
-        long away = play.calls.values().stream()
+        long rejected = play.calls.values().stream()
                 .filter(c -> "rate-limited".equals(c.answer))
                 .count();
-        assertTrue(away < 200, away + " turned away");
+        assertTrue(rejected < 200, rejected + " calls rejected");
     }
 
-    /** Danger: a hundred balancers with at least one call each are a hundred calls too many for a few upstreams. */
+    /** Guards against overload by a fleet of a hundred balancers, each of which sends at least one call at a time to a few upstreams. */
     @Test
-    void limitsToLessThanOneCallWhereThatIsThisBalancersShare() {
+    void limitsBalancerToLessThanOneCallWhenItsQuotaIsSmaller() {
         PolicySimulation play = six(PolicySimulation.settings(100, 0, 1, false, Scope.ALL), 1);
-        double held = heldDuring(play, 2000, 20 * MS, 300 * MS).getAverage();
-        assertTrue(held > 0.1 && held < 0.8, held + " calls held on average");
+        double inFlight = heldDuring(play, 2000, 20 * MS, 300 * MS).getAverage();
+        assertTrue(inFlight > 0.1 && inFlight < 0.8, inFlight + " calls in flight on average");
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which calls are admitted, and what rejected clients are told. */
+/** Tests which calls are admitted, and after what delay rejected clients are advised to retry. */
 class AdmissionControlTest {
     private static AdmissionControl admission(Locality locality) {
         Settings settings = PolicySimulation.settings(1, 0, 2, false, Scope.ALL);
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void admitsUpToTheLimitAndLessForProductsOfLessValue() {
+    void admitsCallsUpToLimitThatIsLowerForProductsOfLessValue() {
         Locality locality = new Locality(0, 0);
         locality.concurrency.limit = 10;
         AdmissionControl admission = admission(locality);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void advisesToRetryAfterAQuarterOfTheObjectiveAndLaterWithJitter() {
+    void advisesRetryAfterQuarterOfObjectiveAndLaterWithJitter() {
         AdmissionControl admission = admission(new Locality(0, 0));
         Product product = PolicySimulation.product("p", Repeat.IDEMPOTENT, Scope.ALL);
         assertEquals(100 * MS, admission.retryAfter(product));
@@ -48,9 +48,9 @@
         assertTrue(jittered > 100 * MS && jittered <= 500 * MS, "" + jittered);
     }
 
-    /** Danger: everything is admitted and all of it is late. Beyond its limit the first tier rejects calls at once. */
+    /** Guards against overload in which every call is admitted and every call is late: the first tier rejects calls over its limits. */
     @Test
-    void rejectsCallsAtOnceWhenTheLocalitiesAreFullAndLate() {
+    void rejectsCallsAtOnceOnFirstTierWhenLocalitiesAreFullAndLate() {
         for (int tier = 0; tier < 2; tier++) {
             PolicySimulation play = six(PolicySimulation.settings(1, tier, 2, false, Scope.ALL), 1);
             for (int i = 0; i < 400; i++) {
@@ -58,63 +58,68 @@
                 play.fulfilLater("c" + i, 350 * MS);
                 play.runTo(play.now + 5 * MS);
             }
-            long away = play.calls.values().stream()
+            long rejected = play.calls.values().stream()
                     .filter(c -> "rate-limited".equals(c.answer) && c.answeredAt == c.from && c.advice == 100 * MS)
                     .count();
-            assertTrue(tier == 0 ? away > 100 : away == 0, away + " turned away at once on tier " + tier);
+            assertTrue(tier == 0 ? rejected > 100 : rejected == 0, rejected + " calls rejected at once on tier " + tier);
         }
     }
 
-    /** Danger: a locality of warming or lost upstreams has nothing in flight, seems free, and the rest overloads the own one. */
+    /**
+     * Guards against overload of a balancer's own locality. A locality whose upstreams are warming up or unreachable has nothing in flight
+     * and seems to have capacity, so calls would be admitted that only the own locality can take.
+     */
     @Test
-    void neverExceedsALimitBecauseAnotherLocalityCannotBeUsed() {
+    void keepsWithinLimitWhenAnotherLocalityIsUnusable() {
         PolicySimulation play = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
         for (int u = 3; u < 6; u++) {
             play.tell(Kind.DELTA, entry("u" + u, EndpointState.READY, play.now, u / 2, "b"));
         }
-        int most = heldDuring(play, 400, 5 * MS, 600 * MS).getMax();
-        assertTrue(most > 5 && most < 40, most + " calls out at once");
+        int maxInFlight = heldDuring(play, 400, 5 * MS, 600 * MS).getMax();
+        assertTrue(maxInFlight > 5 && maxInFlight < 40, maxInFlight + " calls in flight at once");
     }
 
-    /** Danger: in an overload work of little billed value, or with little time left, takes the capacity of the rest. */
+    /** Guards against overload in which calls of low billed value, or with little remaining time, use up the capacity of the others. */
     @Test
-    void rejectsCheapAndShortCallsFirst() {
-        for (boolean isShort : List.of(false, true)) {
+    void rejectsCallsOfLowValueOrLittleRemainingTimeFirstWhenOverloaded() {
+        for (boolean byRemainingTime : List.of(false, true)) {
             PolicySimulation play = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
             for (int i = 0; i < 600; i++) {
-                boolean lesser = i % 2 == 0;
-                play.call("c" + i, lesser || isShort ? "read" : "once", (lesser && isShort ? 200 : 1000) * MS);
+                boolean lowPriority = i % 2 == 0;
+                play.call("c" + i, lowPriority || byRemainingTime ? "read" : "once", (lowPriority && byRemainingTime ? 200 : 1000) * MS);
                 play.fulfilLater("c" + i, 150 * MS);
                 play.runTo(play.now + 5 * MS);
             }
-            long[] done = new long[2];
+            long[] fulfilled = new long[2];
             play.calls.values().stream()
                     .filter(c -> "fulfilled".equals(c.answer))
-                    .forEach(c -> done[Integer.parseInt(c.id.substring(1)) % 2]++);
-            assertTrue(done[1] > 2 * done[0] && done[0] > 0, done[1] + " fulfilled, lesser ones " + done[0]);
+                    .forEach(c -> fulfilled[Integer.parseInt(c.id.substring(1)) % 2]++);
+            assertTrue(
+                    fulfilled[1] > 2 * fulfilled[0] && fulfilled[0] > 0,
+                    fulfilled[1] + " calls of high priority fulfilled, of low priority " + fulfilled[0]);
         }
     }
 
-    /** Danger: all that are rejected at once would return at once. Never later than the settings allow. */
+    /** Guards against clients that are rejected together and all retry together. No delay may exceed what the settings allow. */
     @Test
-    void spreadsRetryAfterWhileAFleetRecovers() {
-        for (double spread : new double[] {0, 0.5, 1}) {
+    void spreadsAdvisedRetryDelayWhenJitterIsSet() {
+        for (double jitter : new double[] {0, 0.5, 1}) {
             PolicySimulation play = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
-            play.policy.setRetryAfterJitter(spread);
+            play.policy.setRetryAfterJitter(jitter);
             for (int i = 0; i < 400; i++) {
                 play.call("c" + i, "read", 1000 * MS);
                 play.runTo(play.now + MS);
             }
-            var advice = play.calls.values().stream()
+            var delays = play.calls.values().stream()
                     .filter(c -> "rate-limited".equals(c.answer))
                     .mapToLong(c -> c.advice)
                     .summaryStatistics();
             assertTrue(
-                    advice.getCount() > 100
-                            && advice.getMin() >= 100 * MS
-                            && advice.getMax() <= 100 * MS + spread * 400 * MS,
-                    advice.toString());
-            assertTrue(advice.getMax() - advice.getMin() >= 0.9 * spread * 400 * MS, advice.toString());
+                    delays.getCount() > 100
+                            && delays.getMin() >= 100 * MS
+                            && delays.getMax() <= 100 * MS + jitter * 400 * MS,
+                    delays.toString());
+            assertTrue(delays.getMax() - delays.getMin() >= 0.9 * jitter * 400 * MS, delays.toString());
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -12,12 +12,12 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The policy as a whole, against a plain model of its rules, and what one process passes on to the next. */
-@SuppressWarnings("EnumOrdinal") // values are drawn at random by their place
+/** Tests the policy as a whole against a reference model of its rules, and the state that one process passes to its successor. */
+@SuppressWarnings("EnumOrdinal") // Values are drawn at random by their ordinal.
 class BalancingPolicyTest {
-    /** Whatever happens in whatever order, the module does nothing that the plain model forbids. */
+    /** For random inputs in random order, the policy does nothing that the reference model forbids. */
     @Test
-    void agreesWithThePlainModelOnGeneratedInputs() {
+    void keepsRulesOfReferenceModelForRandomInputs() {
         for (int seed = 0; seed < 300; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             Settings settings = PolicySimulation.settings(
@@ -29,16 +29,16 @@
             PolicySimulation play = six(
                     seed % 2 == 0 ? settings : PolicySimulation.reporting(settings, r.nextInt(settings.instances())),
                     seed);
-            int slowest = 20 + r.nextInt(1500);
-            double bad = r.nextDouble();
+            int maxLatencyMillis = 20 + r.nextInt(1500);
+            double failureFraction = r.nextDouble();
             for (int i = 0; i < 400; i++) {
                 play.runTo(play.now + r.nextInt(40) * MS);
                 String id = "c" + i;
-                long left = (1 + r.nextInt(1200)) * MS;
-                boolean large = r.nextInt(8) == 0;
-                play.call(id, List.of("read", "mark", "once").get(r.nextInt(3)), large ? Long.MAX_VALUE : left);
-                if (large) {
-                    play.at(play.now + r.nextInt(900) * MS, () -> play.whole(id, left));
+                long remainingTime = (1 + r.nextInt(1200)) * MS;
+                boolean bodyArriving = r.nextInt(8) == 0;
+                play.call(id, List.of("read", "mark", "once").get(r.nextInt(3)), bodyArriving ? Long.MAX_VALUE : remainingTime);
+                if (bodyArriving) {
+                    play.at(play.now + r.nextInt(900) * MS, () -> play.whole(id, remainingTime));
                 }
                 if (r.nextInt(30) == 0) {
                     play.maintenance("u" + r.nextInt(6), r.nextBoolean());
@@ -52,8 +52,8 @@
                 }
                 for (int k = 0; k < 4; k++) {
                     int attempt = k;
-                    Outcome outcome = r.nextDouble() > bad ? Outcome.FULFILLED : Outcome.values()[r.nextInt(10)];
-                    play.at(play.now + r.nextInt(slowest) * MS, () -> {
+                    Outcome outcome = r.nextDouble() > failureFraction ? Outcome.FULFILLED : Outcome.values()[r.nextInt(10)];
+                    play.at(play.now + r.nextInt(maxLatencyMillis) * MS, () -> {
                         if (play.calls.get(id).attempts.size() > attempt) {
                             play.end(id, attempt, outcome);
                         }
@@ -66,10 +66,10 @@
                             Kind.DELTA,
                             entry("u" + u, state, r.nextInt(3) == 0 ? play.now : 0, u / 2, u < 3 ? "a" : "b"));
                 }
-                // Whatever reports and messages say or leave out.
-                double[] odd = {-1, 0, 3, 40, 1e300, Double.NaN, Double.POSITIVE_INFINITY};
+                // Load reports and peer messages are partly valid and partly malformed.
+                double[] values = {-1, 0, 3, 40, 1e300, Double.NaN, Double.POSITIVE_INFINITY};
                 double[] row =
-                        r.doubles(r.nextInt(4)).map(x -> odd[(int) (x * 7)]).toArray();
+                        r.doubles(r.nextInt(4)).map(x -> values[(int) (x * 7)]).toArray();
                 play.policy.onLoadReport(play.now, "u" + r.nextInt(8), r.nextInt(9) == 0 ? null : row);
                 byte[] message = new byte[r.nextInt(300)];
                 r.nextBytes(message);
@@ -88,12 +88,12 @@
     }
 
     /**
-     * Seen at a site whose calls take 0.4 of their SLO by themselves, a few in that time: at its least room a group learnt so in twenty
-     * answers, half a minute, and turned away two in three meanwhile.
+     * Guards against slow learning of the baseline latency. At a site whose calls take 0.4 of their SLO without queueing, with a few calls
+     * in that time, a locality at its minimum limit needed twenty responses, half a minute, and rejected two calls in three meanwhile.
      */
     @Test
-    void learnsWhatTheWorkItselfTakesFromFewAnswers() {
-        // A zone of others with one upstream: this balancer's least room there is one call.
+    void learnsBaselineLatencyFromFewResponsesAtMinimumLimit() {
+        // The upstream is the only one of another zone, so this balancer's minimum limit there is one call.
         PolicySimulation play = new PolicySimulation(PolicySimulation.settings(3, 0, 2, false, Scope.ALL), 1);
         play.tell(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "b"));
         for (int i = 0; i < 60; i++) {
@@ -104,28 +104,28 @@
             }
             play.runTo(play.now + 60 * MS);
         }
-        LearnedLocality learnt = play.policy.exportLearned().get(1);
-        assertTrue(learnt.concurrencyLimit() < 1.2, "room " + learnt.concurrencyLimit());
-        // It came to its least room some 2.4 s before, six SLOs, in which 13 calls were answered, at 0.45 of their SLO.
+        LearnedLocality learned = play.policy.exportLearned().get(1);
+        assertTrue(learned.concurrencyLimit() < 1.2, "concurrency limit " + learned.concurrencyLimit());
+        // The limit reached its minimum about 2.4 s, six SLOs, earlier; since then 13 calls got responses after 0.45 of their SLO.
         assertTrue(
-                learnt.baselineLatencyRatio() > 0.25 && learnt.baselineLatencyRatio() < 0.45,
-                "of the SLO, by itself: " + learnt.baselineLatencyRatio());
+                learned.baselineLatencyRatio() > 0.25 && learned.baselineLatencyRatio() < 0.45,
+                "baseline latency as a fraction of the SLO: " + learned.baselineLatencyRatio());
     }
 
-    /** Danger: two processes of one balancer that each act as the whole; one that takes over and has to learn anew. */
+    /** Guards against two processes of one balancer that each use its whole budget, and against a successor that has to learn again. */
     @Test
-    void sharesItsRoomsAndPassesOnWhatItLearnt() {
+    void lowersLimitsByQuotaAndRestoresLearnedStateInSuccessor() {
         PolicySimulation whole = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
-        int most = heldDuring(whole, 300, 5 * MS, 600 * MS).getMax();
+        int maxInFlightOfWhole = heldDuring(whole, 300, 5 * MS, 600 * MS).getMax();
         PolicySimulation half = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         half.policy.setQuota(half.now, 0.5);
-        int mostOfHalf = heldDuring(half, 300, 5 * MS, 600 * MS).getMax();
-        assertTrue(mostOfHalf < 0.7 * most, mostOfHalf + " against " + most);
-        PolicySimulation old = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
-        heldDuring(old, 1_500, 10 * MS, 130 * MS);
-        PolicySimulation young = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
-        young.policy.restoreLearned(young.now, old.policy.exportLearned());
-        assertTrue(heldDuring(young, 60, MS, 500 * MS).getMax()
+        int maxInFlightOfHalf = heldDuring(half, 300, 5 * MS, 600 * MS).getMax();
+        assertTrue(maxInFlightOfHalf < 0.7 * maxInFlightOfWhole, maxInFlightOfHalf + " against " + maxInFlightOfWhole);
+        PolicySimulation predecessor = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        heldDuring(predecessor, 1_500, 10 * MS, 130 * MS);
+        PolicySimulation successor = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        successor.policy.restoreLearned(successor.now, predecessor.policy.exportLearned());
+        assertTrue(heldDuring(successor, 60, MS, 500 * MS).getMax()
                 > 1.2
                         * heldDuring(six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1), 60, MS, 500 * MS)
                                 .getMax());
--- a/balancer/src/test/java/gorsestack/decision/CallStateTest.java
+++ b/balancer/src/test/java/gorsestack/decision/CallStateTest.java
@@ -9,14 +9,14 @@
 import gorsestack.decision.Settings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** What a call knows about its attempts. */
+/** Tests what a call's state records about its attempts. */
 class CallStateTest {
     private static UpstreamState upstream(int index) {
         return new UpstreamState(index);
     }
 
     @Test
-    void findsTheFirstAttemptThatMayHaveExecuted() {
+    void returnsFirstAttemptThatMayHaveExecuted() {
         CallState call = new CallState(
                 "c",
                 1,
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void knowsWhereItHasBeen() {
+    void hasTriedOnlyUpstreamsOfItsAttempts() {
         CallState call = new CallState(
                 "c",
                 1,
@@ -40,6 +40,6 @@
         UpstreamState tried = upstream(0);
         call.addAttempt(new CallAttempt(tried, 0));
         assertTrue(call.hasTried(tried));
-        assertFalse(call.hasTried(upstream(0)), "another upstream, whatever its slot");
+        assertFalse(call.hasTried(upstream(0)), "another upstream with the same slot number");
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/DecisionTrace.java
+++ b/balancer/src/test/java/gorsestack/decision/DecisionTrace.java
@@ -15,14 +15,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Drives {@link BalancingPolicy} through all its inputs in one seeded simulation, and digests every action in order
- * with its time and arguments. The same seed gives the same digest for as long as no decision changes. Several
- * instances of the policy may run in one trace: peers that exchange messages, and one that restores what another has
- * learnt.
+ * Passes all kinds of inputs to {@link BalancingPolicy} in one seeded simulation, and digests every action in order with its time and
+ * arguments. A seed always gives the same digest unless a decision changes. A trace may run several instances of the policy: peers that
+ * exchange messages, and a successor that restores what its predecessor has learned.
  */
-@SuppressWarnings("EnumOrdinal") // values are drawn at random by their place
+@SuppressWarnings("EnumOrdinal") // Values are drawn at random by their ordinal.
 final class DecisionTrace implements PolicyActions {
-    /** What is counted, to show that traces cover every kind of action. */
+    /** Kinds of actions that are counted, to check that the traces cover each of them. */
     enum ActionKind {
         FIRST_ATTEMPT,
         SECOND_ATTEMPT,
@@ -33,12 +32,12 @@
         FULFILLED,
         RATE_LIMITED,
         ERRORED,
-        WAKE,
-        TELL,
-        CLOSE,
-        WATCH;
+        SCHEDULE_TIMER,
+        SEND_TO_PEER,
+        CLOSE_IDLE_CONNECTIONS,
+        WATCH_ENDPOINTS;
 
-        /** The kind of a call's attempt, numbered from 0; later ones count with the fourth. */
+        /** Returns the kind of a call's attempt, numbered from 0; attempts after the fourth count as the fourth. */
         static ActionKind ofAttempt(int number) {
             return values()[Math.min(number, FOURTH_ATTEMPT.ordinal())];
         }
@@ -46,13 +45,16 @@
 
     private static final long MILLISECOND = DecisionTraceSettings.MILLISECOND;
     private static final long START = 1_000_000 * MILLISECOND;
-    private static final long LENGTH = 6_000 * MILLISECOND;
-    private static final long DRAIN = 6_000 * MILLISECOND;
-    private static final int FAILURES_OF_A_SICK_UPSTREAM = 3;
+    /** Time during which calls and disturbances start. */
+    private static final long LOAD_TIME = 6_000 * MILLISECOND;
+    /** Time after that in which all calls end. */
+    private static final long SETTLING_TIME = 6_000 * MILLISECOND;
+    /** Consecutive failures from which an attempt to an upstream counts as {@link ActionKind#ATTEMPT_TO_FAILING}. */
+    private static final int FAILING_AFTER_FAILURES = 3;
     private static final String[] KINDS = {"", "small", "large"};
     private static final double[] WEIGHTS = {1, 1, 0.5, 2, 0};
 
-    /** One running policy. */
+    /** One instance of the policy. */
     private static final class Instance {
         final int number;
         BalancingPolicy policy;
@@ -62,31 +64,34 @@
         }
     }
 
-    /** The simulated side of one upstream. */
+    /** The simulated state of one upstream. */
     private static final class Upstream {
         Endpoint entry;
         double meanMillis;
         double capacity;
-        double failureShare;
+        double failureFraction;
         Outcome failure = Outcome.ERROR;
         int inFlight;
-        int straightFailures;
+        int consecutiveFailures;
     }
 
+    /** One attempt of a call; it is open until its outcome has been reported. */
     private static final class Attempt {
         Upstream upstream;
-        long at;
+        long startedAt;
         boolean open = true;
     }
 
+    /** One call, which is completed once its response has started or its client has disconnected. */
     private static final class ApiCall {
         String id;
         Instance instance;
-        boolean bodyComing;
-        boolean answered;
+        boolean bodyArriving;
+        boolean completed;
         final List<Attempt> attempts = new ArrayList<>();
     }
 
+    /** An action at a simulated time; events of the same time run in the order in which they were scheduled. */
     private record Event(long at, long order, Runnable action) {}
 
     final long[] counts = new long[ActionKind.values().length];
@@ -99,12 +104,13 @@
     private final Map<String, Upstream> upstreams = new LinkedHashMap<>();
     private final List<Instance> instances = new ArrayList<>();
     private final double callsPerSecond;
+    /** The instance whose policy was called last, which is the source of the actions. */
     private Instance acting;
-    private double pressure = 1;
-    private double slowdown = 1;
+    private double callRateFactor = 1;
+    private double latencyFactor = 1;
     private long now = START;
     private long order;
-    private int upstreamsSoFar;
+    private int upstreamsCreated;
 
     DecisionTrace(long seed) {
         random = new SplittableRandom(seed);
@@ -112,32 +118,32 @@
         callsPerSecond = 4 * Math.pow(32, random.nextDouble());
     }
 
-    /** Runs the whole simulation; the digest in hex. */
+    /** Runs the whole simulation and returns the digest in hexadecimal. */
     String run() {
         addInstance(settings, random.nextLong());
         if (settings.instances() > 1) {
             int peer = (settings.instanceIndex() + 1) % settings.instances();
             addInstance(DecisionTraceSettings.withIndex(settings, peer), random.nextLong());
         }
-        int fleet = 1 + random.nextInt(20);
-        for (int i = 0; i < fleet; i++) {
+        int upstreamCount = 1 + random.nextInt(20);
+        for (int i = 0; i < upstreamCount; i++) {
             addUpstream(random.nextInt(4) == 0 ? now - random.nextInt(2000) * MILLISECOND : 0);
         }
         publish(random.nextBoolean() ? Kind.SNAPSHOT : Kind.CACHED);
         scheduleNextCall();
         scheduleNextDisturbance();
         if (random.nextInt(3) == 0) {
-            schedule(START + LENGTH / 3, this::handOver);
+            schedule(START + LOAD_TIME / 3, this::handOver);
         }
-        runTo(START + LENGTH + DRAIN);
-        instances.forEach(this::recordLearnt);
+        runTo(START + LOAD_TIME + SETTLING_TIME);
+        instances.forEach(this::recordLearned);
         return HexFormat.of().formatHex(digest.digest());
     }
 
-    private void addInstance(Settings of, long seed) {
+    private void addInstance(Settings instanceSettings, long seed) {
         Instance instance = new Instance(instances.size());
         acting = instance;
-        instance.policy = new BalancingPolicy(of, seed, now, this);
+        instance.policy = new BalancingPolicy(instanceSettings, seed, now, this);
         instances.add(instance);
     }
 
@@ -146,7 +152,7 @@
         List<String> zones = settings.zones();
         String zone = random.nextInt(12) == 0 ? "unknown" : zones.get(random.nextInt(zones.size()));
         upstream.entry = new Endpoint(
-                "u" + upstreamsSoFar++,
+                "u" + upstreamsCreated++,
                 EndpointState.READY,
                 startedAt,
                 random.nextInt(3),
@@ -155,11 +161,11 @@
                 zone);
         upstream.meanMillis = 10 + random.nextInt(120);
         upstream.capacity = 1 + random.nextInt(10);
-        upstream.failureShare = random.nextInt(6) == 0 ? 0.3 : 0.005;
+        upstream.failureFraction = random.nextInt(6) == 0 ? 0.3 : 0.005;
         upstreams.put(upstream.entry.id(), upstream);
     }
 
-    // Events.
+    // Simulated time: events in order.
 
     private void schedule(long at, Runnable action) {
         events.add(new Event(at, order++, action));
@@ -174,6 +180,7 @@
         now = end;
     }
 
+    /** Returns the policy of an instance, and records the instance as the source of the following actions. */
     private BalancingPolicy on(Instance instance) {
         acting = instance;
         return instance.policy;
@@ -191,11 +198,11 @@
         return Outcome.values()[random.nextInt(Outcome.values().length)];
     }
 
-    // Calls.
+    // Calls, their request bodies and outcomes.
 
     private void scheduleNextCall() {
-        long gap = (long) (-Math.log(1 - random.nextDouble()) * 1e9 / (callsPerSecond * pressure));
-        if (now + gap < START + LENGTH) {
+        long gap = (long) (-Math.log(1 - random.nextDouble()) * 1e9 / (callsPerSecond * callRateFactor));
+        if (now + gap < START + LOAD_TIME) {
             schedule(now + gap, () -> {
                 call();
                 scheduleNextCall();
@@ -207,62 +214,63 @@
         ApiCall call = new ApiCall();
         call.id = "c" + calls.size();
         call.instance = anyInstance();
-        call.bodyComing = random.nextInt(8) == 0;
+        call.bodyArriving = random.nextInt(8) == 0;
         calls.put(call.id, call);
         Product product =
                 settings.products().get(random.nextInt(settings.products().size()));
         String name = random.nextInt(200) == 0 ? "no such product" : product.name();
-        long left = random.nextBoolean() ? -1 : (20 + random.nextInt(1500)) * MILLISECOND;
-        on(call.instance).onApiCall(now, call.id, name, "tenant", call.bodyComing ? Long.MAX_VALUE : left);
-        if (call.bodyComing) {
+        long remainingTime = random.nextBoolean() ? -1 : (20 + random.nextInt(1500)) * MILLISECOND;
+        on(call.instance)
+                .onApiCall(now, call.id, name, "tenant", call.bodyArriving ? Long.MAX_VALUE : remainingTime);
+        if (call.bodyArriving) {
             scheduleBody(call);
         }
         if (random.nextInt(25) == 0) {
-            schedule(now + random.nextInt(400) * MILLISECOND, () -> clientGone(call));
+            schedule(now + random.nextInt(400) * MILLISECOND, () -> disconnectClient(call));
         }
     }
 
     private void scheduleBody(ApiCall call) {
-        long whole = now + random.nextInt(300) * MILLISECOND;
+        long completeAt = now + random.nextInt(300) * MILLISECOND;
         if (random.nextBoolean()) {
-            schedule(now + (whole - now) / 2, () -> on(call.instance).onRequestBody(now, call.id, -1));
+            schedule(now + (completeAt - now) / 2, () -> on(call.instance).onRequestBody(now, call.id, -1));
         }
-        schedule(whole, () -> bodyWhole(call));
+        schedule(completeAt, () -> completeBody(call));
     }
 
-    private void bodyWhole(ApiCall call) {
-        if (call.answered) {
+    private void completeBody(ApiCall call) {
+        if (call.completed) {
             return;
         }
-        long left = random.nextInt(1000) * MILLISECOND;
-        call.bodyComing = false;
-        on(call.instance).onRequestBody(now, call.id, left);
+        long remainingTime = random.nextInt(1000) * MILLISECOND;
+        call.bodyArriving = false;
+        on(call.instance).onRequestBody(now, call.id, remainingTime);
         for (int i = 0; i < call.attempts.size(); i++) {
             int number = i;
-            schedule(now + left, () -> end(call, number, Outcome.TIMED_OUT));
+            schedule(now + remainingTime, () -> end(call, number, Outcome.TIMED_OUT));
         }
     }
 
-    private void clientGone(ApiCall call) {
-        call.answered = true;
+    private void disconnectClient(ApiCall call) {
+        call.completed = true;
         on(call.instance).onClientDisconnected(now, call.id);
     }
 
     private void scheduleOutcome(ApiCall call, int number, Upstream upstream) {
         double load = 1 + upstream.inFlight / upstream.capacity;
-        double millis = upstream.meanMillis * load * slowdown * (0.5 + random.nextDouble());
-        boolean fails = random.nextDouble() < upstream.failureShare;
+        double millis = upstream.meanMillis * load * latencyFactor * (0.5 + random.nextDouble());
+        boolean fails = random.nextDouble() < upstream.failureFraction;
         Outcome outcome = !fails ? Outcome.FULFILLED : random.nextInt(4) == 0 ? anyOutcome() : upstream.failure;
         long at = now + (long) ((fails ? millis / 3 : millis) * MILLISECOND);
         if (!fails && random.nextInt(20) == 0) {
-            schedule(now + (at - now) / 2, () -> started(call, number));
+            schedule(now + (at - now) / 2, () -> startResponse(call, number));
         }
         schedule(at, () -> end(call, number, outcome));
     }
 
-    private void started(ApiCall call, int number) {
-        if (call.attempts.get(number).open && !call.answered) {
-            call.answered = true;
+    private void startResponse(ApiCall call, int number) {
+        if (call.attempts.get(number).open && !call.completed) {
+            call.completed = true;
             on(call.instance).onResponseStarted(now, call.id, number);
         }
     }
@@ -274,26 +282,26 @@
         }
         attempt.open = false;
         attempt.upstream.inFlight--;
-        boolean answers = outcome == Outcome.FULFILLED;
-        attempt.upstream.straightFailures = answers ? 0 : attempt.upstream.straightFailures + 1;
+        boolean successful = outcome == Outcome.FULFILLED;
+        attempt.upstream.consecutiveFailures = successful ? 0 : attempt.upstream.consecutiveFailures + 1;
         BalancingPolicy policy = on(call.instance);
-        if (answers && random.nextInt(10) > 0) {
+        if (successful && random.nextInt(10) > 0) {
             policy.onLoadReport(now, attempt.upstream.entry.id(), reportRow(attempt.upstream));
         }
-        policy.onOutcome(now, call.id, number, outcome, now - attempt.at, answers || call.answered);
+        policy.onOutcome(now, call.id, number, outcome, now - attempt.startedAt, successful || call.completed);
     }
 
     private double[] reportRow(Upstream upstream) {
         double rate = upstream.capacity * 1000 / upstream.meanMillis * random.nextDouble();
-        double held = upstream.inFlight * (1 + random.nextInt(3));
-        return settings.reports().columns().size() == 1 ? new double[] {held} : new double[] {rate, held};
+        double inFlight = upstream.inFlight * (1 + random.nextInt(3));
+        return settings.reports().columns().size() == 1 ? new double[] {inFlight} : new double[] {rate, inFlight};
     }
 
-    // Disturbances.
+    // Random changes of upstreams, settings and load.
 
     private void scheduleNextDisturbance() {
         long at = now + (20 + random.nextInt(200)) * MILLISECOND;
-        if (at < START + LENGTH) {
+        if (at < START + LOAD_TIME) {
             schedule(at, () -> {
                 disturb();
                 scheduleNextDisturbance();
@@ -303,46 +311,46 @@
 
     private void disturb() {
         switch (random.nextInt(16)) {
-            case 0 -> joinUpstream();
-            case 1 -> change(anyUpstream(), EndpointState.DRAINING);
-            case 2 -> change(anyUpstream(), EndpointState.GONE);
-            case 3, 4 -> change(anyUpstream(), EndpointState.READY);
+            case 0 -> startNewUpstream();
+            case 1 -> changeState(anyUpstream(), EndpointState.DRAINING);
+            case 2 -> changeState(anyUpstream(), EndpointState.GONE);
+            case 3, 4 -> changeState(anyUpstream(), EndpointState.READY);
             case 5 -> restart(anyUpstream());
             case 6 -> publish(Kind.values()[random.nextInt(Kind.values().length)]);
-            case 7 -> loseZone();
+            case 7 -> failZone();
             case 8 -> maintenance();
-            case 9 -> share();
+            case 9 -> halveQuota();
             case 10 -> on(anyInstance()).setRetryAfterJitter(random.nextInt(3) * 0.5);
-            case 11 -> badInputs();
-            case 12 -> pressure = random.nextInt(3) == 0 ? 5 : 1;
-            case 13 -> slowdown = random.nextInt(3) == 0 ? 4 : 1;
-            case 14 -> failureBurst();
-            default -> badLearnt();
+            case 11 -> sendInvalidInputs();
+            case 12 -> callRateFactor = random.nextInt(3) == 0 ? 5 : 1;
+            case 13 -> latencyFactor = random.nextInt(3) == 0 ? 4 : 1;
+            case 14 -> failSomeUpstreams();
+            default -> restoreArbitraryState();
         }
     }
 
-    private void joinUpstream() {
+    private void startNewUpstream() {
         addUpstream(now);
         Upstream last = new ArrayList<>(upstreams.values()).get(upstreams.size() - 1);
-        changes(List.of(last.entry));
+        publishDelta(List.of(last.entry));
     }
 
-    private void change(Upstream upstream, EndpointState state) {
+    private void changeState(Upstream upstream, EndpointState state) {
         Endpoint e = upstream.entry;
         upstream.entry = new Endpoint(e.id(), state, e.startedAt(), e.cell(), e.weight(), e.kind(), e.zone());
-        changes(List.of(upstream.entry));
+        publishDelta(List.of(upstream.entry));
     }
 
     private void restart(Upstream upstream) {
         upstream.entry = upstream.entry.startedAt(now);
-        change(upstream, EndpointState.READY);
+        changeState(upstream, EndpointState.READY);
     }
 
-    private void changes(List<Endpoint> entries) {
+    private void publishDelta(List<Endpoint> entries) {
         instances.forEach(instance -> on(instance).onEndpointUpdate(now, new EndpointUpdate(Kind.DELTA, entries)));
     }
 
-    /** Sends every instance a list; a whole one leaves out some of those that are gone. */
+    /** Sends every instance an update; a list leaves out some of the upstreams that are gone. */
     private void publish(Kind kind) {
         for (Instance instance : instances) {
             on(instance).onEndpointUpdate(now, new EndpointUpdate(kind, kind == Kind.FAILED ? List.of() : listed()));
@@ -356,26 +364,26 @@
                 .toList();
     }
 
-    private void loseZone() {
+    private void failZone() {
         String zone = settings.zones().get(random.nextInt(settings.zones().size()));
-        List<Upstream> lost = upstreams.values().stream()
+        List<Upstream> failing = upstreams.values().stream()
                 .filter(u -> u.entry.zone().equals(zone))
                 .toList();
-        failFor(lost, 1, random.nextBoolean() ? Outcome.UNREACHABLE : Outcome.TIMED_OUT);
+        failFor(failing, 1, random.nextBoolean() ? Outcome.UNREACHABLE : Outcome.TIMED_OUT);
     }
 
-    private void failureBurst() {
+    private void failSomeUpstreams() {
         failFor(List.of(anyUpstream(), anyUpstream(), anyUpstream()), 0.8, anyOutcome());
     }
 
-    private void failFor(List<Upstream> failing, double share, Outcome failure) {
+    private void failFor(List<Upstream> failing, double failureFraction, Outcome failure) {
         for (Upstream upstream : failing) {
-            upstream.failureShare = share;
+            upstream.failureFraction = failureFraction;
             upstream.failure = failure;
         }
         schedule(
                 now + (200 + random.nextInt(1500)) * MILLISECOND,
-                () -> failing.forEach(upstream -> upstream.failureShare = 0.005));
+                () -> failing.forEach(upstream -> upstream.failureFraction = 0.005));
     }
 
     private void maintenance() {
@@ -386,27 +394,27 @@
                 () -> instances.forEach(instance -> on(instance).setMaintenance(now, upstream.entry.id(), now)));
     }
 
-    private void share() {
+    private void halveQuota() {
         Instance instance = anyInstance();
         on(instance).setQuota(now, 0.5);
         schedule(now + random.nextInt(1500) * MILLISECOND, () -> on(instance).setQuota(now, 1));
     }
 
-    /** A new process of the first balancer begins with what the old one has learnt. */
+    /** Starts a new process of the first balancer, which begins with what the old one has learned. */
     private void handOver() {
         Instance old = instances.get(0);
-        recordLearnt(old);
-        List<LearnedLocality> learnt = old.policy.exportLearned();
+        recordLearned(old);
+        List<LearnedLocality> learned = old.policy.exportLearned();
         addInstance(settings, random.nextLong());
         Instance next = instances.get(instances.size() - 1);
         on(next).onEndpointUpdate(now, new EndpointUpdate(Kind.CACHED, listed()));
         on(old).setQuota(now, 0.5);
         on(next).setQuota(now, 0.5);
-        on(next).restoreLearned(now, learnt);
+        on(next).restoreLearned(now, learned);
         schedule(now + 500 * MILLISECOND, () -> on(next).setQuota(now, 1));
     }
 
-    private void badLearnt() {
+    private void restoreArbitraryState() {
         double[][][] rows = {
             {},
             {{}},
@@ -424,8 +432,8 @@
                                 .toList());
     }
 
-    /** Inputs that refer to nothing known, or that are malformed. */
-    private void badInputs() {
+    /** Sends inputs that refer to unknown calls or upstreams, or that are malformed. */
+    private void sendInvalidInputs() {
         BalancingPolicy policy = on(anyInstance());
         policy.onOutcome(now, "no such call", 0, anyOutcome(), MILLISECOND, random.nextBoolean());
         policy.onOutcome(now, "c0", 7, anyOutcome(), MILLISECOND, false);
@@ -449,27 +457,27 @@
         return message;
     }
 
-    // Actions of the policy.
+    // Implementation of PolicyActions.
 
     @Override
     public void startAttempt(String apiCall, String upstream, long timeout) {
         ApiCall call = calls.get(apiCall);
-        Upstream to = upstreams.get(upstream);
+        Upstream target = upstreams.get(upstream);
         int number = call.attempts.size();
         count(ActionKind.ofAttempt(number));
-        if (to.straightFailures >= FAILURES_OF_A_SICK_UPSTREAM) {
+        if (target.consecutiveFailures >= FAILING_AFTER_FAILURES) {
             count(ActionKind.ATTEMPT_TO_FAILING);
         }
         record("attempt", apiCall, upstream, timeout);
         Attempt attempt = new Attempt();
-        attempt.upstream = to;
-        attempt.at = now;
+        attempt.upstream = target;
+        attempt.startedAt = now;
         call.attempts.add(attempt);
-        to.inFlight++;
-        if (!call.bodyComing) {
+        target.inFlight++;
+        if (!call.bodyArriving) {
             schedule(now + timeout, () -> end(call, number, Outcome.TIMED_OUT));
         }
-        scheduleOutcome(call, number, to);
+        scheduleOutcome(call, number, target);
     }
 
     @Override
@@ -481,34 +489,34 @@
     @Override
     public void fulfilled(String apiCall, int attempt) {
         record(ActionKind.FULFILLED, "fulfilled", apiCall, attempt);
-        calls.get(apiCall).answered = true;
+        calls.get(apiCall).completed = true;
     }
 
     @Override
     public void rateLimited(String apiCall, long retryAfter) {
         record(ActionKind.RATE_LIMITED, "rateLimited", apiCall, retryAfter);
-        calls.get(apiCall).answered = true;
+        calls.get(apiCall).completed = true;
     }
 
     @Override
     public void errored(String apiCall) {
         record(ActionKind.ERRORED, "errored", apiCall);
-        calls.get(apiCall).answered = true;
+        calls.get(apiCall).completed = true;
     }
 
     @Override
-    public void scheduleTimer(long token, long at) {
-        record(ActionKind.WAKE, "wake", token, at);
+    public void scheduleTimer(long token, long dueAt) {
+        record(ActionKind.SCHEDULE_TIMER, "wake", token, dueAt);
         Instance instance = acting;
         schedule(
-                Math.max(at, now + settings.clockResolution()),
+                Math.max(dueAt, now + settings.clockResolution()),
                 () -> on(instance).onTimer(now, token));
     }
 
-    /** Most messages reach another instance of this trace, whatever the index; some are lost. */
+    /** Delivers most messages to another instance of this trace, whatever the index; the others are lost. */
     @Override
     public void sendToPeer(int peer, byte[] message) {
-        record(ActionKind.TELL, "tell", peer, HexFormat.of().formatHex(message));
+        record(ActionKind.SEND_TO_PEER, "tell", peer, HexFormat.of().formatHex(message));
         Instance receiver = anyInstance();
         if (receiver != acting && random.nextInt(10) > 0) {
             schedule(now + random.nextInt(20) * MILLISECOND, () -> on(receiver).onPeerMessage(now, message));
@@ -517,12 +525,12 @@
 
     @Override
     public void closeIdleConnections(String upstream) {
-        record(ActionKind.CLOSE, "close", upstream);
+        record(ActionKind.CLOSE_IDLE_CONNECTIONS, "close", upstream);
     }
 
     @Override
     public void watchEndpoints() {
-        record(ActionKind.WATCH, "watch");
+        record(ActionKind.WATCH_ENDPOINTS, "watch");
         Instance instance = acting;
         boolean fails = random.nextInt(3) == 0;
         schedule(
@@ -535,7 +543,7 @@
                                         : new EndpointUpdate(Kind.SNAPSHOT, listed())));
     }
 
-    // The digest.
+    // Digest of the actions.
 
     private void count(ActionKind kind) {
         counts[kind.ordinal()]++;
@@ -555,7 +563,7 @@
         digest.update(line.append('\n').toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    private void recordLearnt(Instance instance) {
+    private void recordLearned(Instance instance) {
         record(
                 "learnt",
                 instance.number,
--- a/balancer/src/test/java/gorsestack/decision/DecisionTraceSettings.java
+++ b/balancer/src/test/java/gorsestack/decision/DecisionTraceSettings.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Draws the settings of one trace, so that over some hundred seeds every option is seen on and off. */
+/** Draws the settings of one {@link DecisionTrace}, so that over some hundred seeds every option occurs both on and off. */
 final class DecisionTraceSettings {
     static final long MILLISECOND = 1_000_000;
     private static final List<String> ZONES = List.of("a", "b", "c");
@@ -38,7 +38,7 @@
                 MILLISECOND);
     }
 
-    /** The settings of another instance of the same balancer. */
+    /** Returns the settings of another instance of the same balancer. */
     static Settings withIndex(Settings settings, int index) {
         return new Settings(
                 index,
@@ -57,7 +57,7 @@
                 settings.clockResolution());
     }
 
-    /** One product of every repeat kind and scope. */
+    /** Returns one product for every combination of repeat kind and scope. */
     private static List<Product> products(SplittableRandom random) {
         List<Product> products = new ArrayList<>();
         for (Repeat repeat : Repeat.values()) {
@@ -78,20 +78,20 @@
     }
 
     private static Limits limits(SplittableRandom random) {
-        int mostAttempts = 1 + random.nextInt(5);
+        int maxAttempts = 1 + random.nextInt(5);
         boolean mayCancel = random.nextInt(4) > 0;
-        boolean secondCopies = random.nextInt(4) > 0;
+        boolean hedgingAllowed = random.nextInt(4) > 0;
         boolean retryAfter = random.nextInt(4) > 0;
         long maxRetryAfter = (50 + random.nextInt(450)) * MILLISECOND;
-        return new Limits(mostAttempts, mayCancel, secondCopies, retryAfter, maxRetryAfter, random.nextInt(4) > 0);
+        return new Limits(maxAttempts, mayCancel, hedgingAllowed, retryAfter, maxRetryAfter, random.nextInt(4) > 0);
     }
 
     private static Rules rules(SplittableRandom random) {
-        long askWithin = (500 + random.nextInt(5000)) * MILLISECOND;
-        long cold = (1000 + random.nextInt(9000)) * MILLISECOND;
+        long watchDeadline = (500 + random.nextInt(5000)) * MILLISECOND;
+        long slowStartTime = (1000 + random.nextInt(9000)) * MILLISECOND;
         return new Rules(
-                askWithin,
-                cold,
+                watchDeadline,
+                slowStartTime,
                 0.05 + 0.3 * random.nextDouble(),
                 1.5 + 2 * random.nextDouble(),
                 (200 + random.nextInt(1000)) * MILLISECOND);
--- a/balancer/src/test/java/gorsestack/decision/DecisionTraceTest.java
+++ b/balancer/src/test/java/gorsestack/decision/DecisionTraceTest.java
@@ -18,18 +18,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A golden master of all decisions: the digest of each seed's trace is stored, one line a seed. A refactoring must
- * leave all of them as they are. After an intended change of behaviour, -Dgorsestack.test.trace.write=FILE writes new
- * ones.
+ * Compares all decisions with stored ones (golden master): the resource holds one line per seed with the digest of its trace. A refactoring
+ * must not change any digest. After an intended change of behaviour, -Dgorsestack.test.trace.write=FILE writes new ones.
  */
-@SuppressWarnings("EnumOrdinal") // actions are counted by their place
+@SuppressWarnings("EnumOrdinal") // Actions are counted by the ordinal of their kind.
 class DecisionTraceTest {
     private static final int SEEDS = 200;
     private static final String RESOURCE = "/decision-trace.sha256";
     private static final String WRITE_PROPERTY = "gorsestack.test.trace.write";
 
-    /** Below these the traces no longer cover what they are for. */
-    private static final Map<ActionKind, Integer> LEAST = new EnumMap<>(Map.ofEntries(
+    /** Minimum number of actions of each kind over all traces; with fewer, the traces no longer cover that kind. */
+    private static final Map<ActionKind, Integer> MIN_COUNTS = new EnumMap<>(Map.ofEntries(
             Map.entry(ActionKind.FIRST_ATTEMPT, 50_000),
             Map.entry(ActionKind.SECOND_ATTEMPT, 2_000),
             Map.entry(ActionKind.THIRD_ATTEMPT, 400),
@@ -39,13 +38,13 @@
             Map.entry(ActionKind.FULFILLED, 30_000),
             Map.entry(ActionKind.RATE_LIMITED, 10_000),
             Map.entry(ActionKind.ERRORED, 5_000),
-            Map.entry(ActionKind.WAKE, 50_000),
-            Map.entry(ActionKind.TELL, 20_000),
-            Map.entry(ActionKind.CLOSE, 500),
-            Map.entry(ActionKind.WATCH, 200)));
+            Map.entry(ActionKind.SCHEDULE_TIMER, 50_000),
+            Map.entry(ActionKind.SEND_TO_PEER, 20_000),
+            Map.entry(ActionKind.CLOSE_IDLE_CONNECTIONS, 500),
+            Map.entry(ActionKind.WATCH_ENDPOINTS, 200)));
 
     @Test
-    void everyDecisionIsAsStored() throws IOException {
+    void makesStoredDecisionsForEverySeed() throws IOException {
         long[] counts = new long[ActionKind.values().length];
         List<String> lines = new ArrayList<>();
         for (int seed = 0; seed < SEEDS; seed++) {
@@ -55,34 +54,34 @@
                 counts[i] += trace.counts[i];
             }
         }
-        assertRich(counts);
+        assertCoverage(counts);
         String file = System.getProperty(WRITE_PROPERTY);
         if (file != null) {
             Files.write(Path.of(file), lines);
-            fail("wrote " + lines.size() + " digests to " + file + ", compared nothing");
+            fail("wrote " + lines.size() + " digests to " + file + " without comparing them with the stored ones");
         }
         assertSame(stored(), lines);
     }
 
-    private static void assertRich(long[] counts) {
+    private static void assertCoverage(long[] counts) {
         List<String> tooFew = new ArrayList<>();
         for (ActionKind kind : ActionKind.values()) {
-            if (counts[kind.ordinal()] < LEAST.get(kind)) {
-                tooFew.add(kind + " " + counts[kind.ordinal()] + " < " + LEAST.get(kind));
+            if (counts[kind.ordinal()] < MIN_COUNTS.get(kind)) {
+                tooFew.add(kind + " " + counts[kind.ordinal()] + " < " + MIN_COUNTS.get(kind));
             }
         }
-        assertTrue(tooFew.isEmpty(), () -> "traces cover too little: " + tooFew);
+        assertTrue(tooFew.isEmpty(), () -> "traces cover too few actions: " + tooFew);
     }
 
     private static void assertSame(List<String> stored, List<String> lines) {
-        assertEquals(SEEDS, stored.size(), "stored digests");
+        assertEquals(SEEDS, stored.size(), "number of stored digests");
         List<Integer> differing = new ArrayList<>();
         for (int seed = 0; seed < SEEDS; seed++) {
             if (!stored.get(seed).equals(lines.get(seed))) {
                 differing.add(seed);
             }
         }
-        assertTrue(differing.isEmpty(), () -> differing.size() + " of " + SEEDS + " seeds differ: " + differing);
+        assertTrue(differing.isEmpty(), () -> differing.size() + " of " + SEEDS + " seeds have other decisions than stored: " + differing);
     }
 
     private static List<String> stored() throws IOException {
--- a/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
@@ -13,34 +13,34 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When a further attempt of a call starts. */
+/** Tests when a further attempt of a call starts. */
 class HedgingPolicyTest {
     private static final Settings.Limits LIMITS = new Settings.Limits(4, true, false, true, 500 * MS, false);
 
-    private static CallState planned(Repeat repeat, long left) {
+    private static CallState planned(Repeat repeat, long deadline) {
         CallState call = new CallState("c", 1, PolicySimulation.product("p", repeat, Scope.ALL));
-        call.deadline = left;
+        call.deadline = deadline;
         new HedgingPolicy(LIMITS).plan(call, 0);
         return call;
     }
 
     @Test
-    void plansTwoAttemptsUnlessARepeatCouldDoHarm() {
+    void plansTwoAttemptsUnlessRepeatCouldDoHarm() {
         assertEquals(2, planned(Repeat.IDEMPOTENT, 1000 * MS).attemptLimit);
         assertEquals(1, planned(Repeat.NON_IDEMPOTENT, 1000 * MS).attemptLimit);
         assertEquals(240 * MS, planned(Repeat.IDEMPOTENT, 1000 * MS).hedgingDelay, "0.6 of the objective");
-        assertEquals(100 * MS, planned(Repeat.IDEMPOTENT, 200 * MS).hedgingDelay, "half the time left");
+        assertEquals(100 * MS, planned(Repeat.IDEMPOTENT, 200 * MS).hedgingDelay, "half of the remaining time");
     }
 
     @Test
-    void startsAThirdAttemptOnlyWithNoneInFlight() {
+    void allowsThirdAttemptOnlyWhenNoneIsInFlight() {
         HedgingPolicy hedging = new HedgingPolicy(LIMITS);
         CallState call = planned(Repeat.IDEMPOTENT, 1000 * MS);
         hedging.scheduleNext(call, 0);
         call.addAttempt(new CallAttempt(new UpstreamState(0), 0));
         assertFalse(hedging.isAttemptDue(call, 239 * MS));
         assertTrue(hedging.isAttemptDue(call, 240 * MS));
-        assertTrue(hedging.isHedgeForbidden(call), "the settings forbid it");
+        assertTrue(hedging.isHedgeForbidden(call), "the settings forbid hedged requests");
         call.addAttempt(new CallAttempt(new UpstreamState(1), 0));
         assertFalse(hedging.mayAttemptAgain(call, 0));
         call.attemptsInFlight = 0;
@@ -49,9 +49,9 @@
         assertFalse(hedging.mayAttemptAgain(call, 0));
     }
 
-    /** A second attempt at half the time left or 0.6 of the SLO; the first success wins, the other is cancelled. */
+    /** The second attempt starts after the lesser of half the remaining time and 0.6 of the SLO; the first success cancels the other. */
     @Test
-    void startsTheSecondAttemptAfterTheHedgingDelayAndCancelsTheLoser() {
+    void startsSecondAttemptAfterHedgingDelayAndCancelsSlowerOne() {
         PolicySimulation play = six(PolicySimulation.settings(1, 0, 4, false, Scope.ALL), 1);
         for (int i = 0; i < 40; i++) {
             play.call("paid" + i, "read", 1000 * MS);
@@ -68,9 +68,9 @@
         play.settle();
     }
 
-    /** Danger: seen with resets and malformed responses; calls failed within milliseconds, deduplicated ones after one attempt. */
+    /** Guards against calls that fail within milliseconds, deduplicated ones after one attempt, on resets and malformed responses. */
     @Test
-    void retriesAtOnceWhenNothingElseIsInFlight() {
+    void retriesAtOnceWhenNoAttemptIsInFlight() {
         PolicySimulation play = new PolicySimulation(PolicySimulation.settings(1, 0, 4, false, Scope.ZONE), 1);
         play.tell(
                 Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"), entry("u1", EndpointState.READY, 0, 1, "b"));
@@ -82,7 +82,7 @@
             play.call(product, product, 1000 * MS);
             PolicySimulation.ApiCall c = play.calls.get(product);
             play.end(product, 0, Outcome.BROKEN);
-            assertEquals(2, c.attempts.size(), "at once");
+            assertEquals(2, c.attempts.size(), "attempts right after the reset");
             play.end(product, 1, Outcome.MALFORMED_RESPONSE);
             assertEquals(3, c.attempts.size());
             play.end(product, 2, Outcome.FULFILLED);
@@ -91,28 +91,32 @@
         play.settle();
     }
 
-    /** Dangers: an upload taken for silence; a repeat of a body that was not kept; its time counted from its first byte. */
+    /**
+     * Guards against an upload that counts as an unresponsive upstream, a repeat of a body that was not buffered, and a timeout that starts
+     * at the first byte of the body.
+     */
     @Test
-    void givesALargeBodyOneAttemptAndItsTimeFromItsLastByte() {
+    void givesUnbufferedBodyOneAttemptAndStartsItsTimeoutAtLastByte() {
         PolicySimulation play = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
         play.call("lost", "read", Long.MAX_VALUE);
         play.end("lost", 0, Outcome.UNREACHABLE);
-        assertEquals(2, play.calls.get("lost").attempts.size(), "all of it is kept so far");
+        assertEquals(2, play.calls.get("lost").attempts.size(), "the body is still buffered");
         play.calls.get("lost").bound = true;
         play.policy.onRequestBody(play.now, "lost", -1);
         play.end("lost", 1, Outcome.UNREACHABLE);
         assertEquals("rate-limited", play.calls.get("lost").answer);
         play.call("slow", "read", Long.MAX_VALUE);
-        String to = play.calls.get("slow").attempts.get(0).upstream;
+        String waitingUpstream = play.calls.get("slow").attempts.get(0).upstream;
         play.runTo(play.now + 5_000 * MS);
-        int there = 0;
+        int callsToWaitingUpstream = 0;
         for (int i = 0; i < 60; i++) {
             play.call("c" + i, "once", 1000 * MS);
-            there += play.calls.get("c" + i).attempts.get(0).upstream.equals(to) ? 1 : 0;
+            callsToWaitingUpstream +=
+                    play.calls.get("c" + i).attempts.get(0).upstream.equals(waitingUpstream) ? 1 : 0;
             play.fulfilLater("c" + i, 20 * MS);
             play.runTo(play.now + 30 * MS);
         }
-        assertTrue(there > 5, there + " calls to the upstream that waits for a body");
+        assertTrue(callsToWaitingUpstream > 5, callsToWaitingUpstream + " calls to the upstream that waits for a body");
         assertEquals(null, play.calls.get("slow").answer);
         play.whole("slow", 1000 * MS);
         play.runTo(play.now + 900 * MS);
@@ -121,11 +125,11 @@
         assertEquals(1, play.calls.get("slow").attempts.size());
     }
 
-    /** Danger: a late response that is worth nothing delays those behind it; the call ends at its SLO, not later. */
+    /** Guards against late responses without value that delay the calls behind them: such a call ends at its SLO. */
     @Test
-    void endsANonIdempotentCallAtItsSloWhereALateResponseIsWorthNothing() {
+    void endsNonIdempotentCallAtItsSloWhenLateResponseHasNoValue() {
         Settings s = PolicySimulation.settings(1, 0, 1, false, Scope.ALL);
-        List<Settings.Product> worthless = s.products().stream()
+        List<Settings.Product> withoutLateValue = s.products().stream()
                 .map(p -> new Settings.Product(
                         p.name(),
                         p.repeat(),
@@ -143,7 +147,7 @@
                         0,
                         "a",
                         s.zones(),
-                        worthless,
+                        withoutLateValue,
                         s.limits(),
                         s.rules(),
                         false,
--- a/balancer/src/test/java/gorsestack/decision/IdleConnectionPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/IdleConnectionPolicyTest.java
@@ -7,11 +7,11 @@
 import gorsestack.decision.Settings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** Where idle connections are closed. */
+/** Tests when idle connections are closed. */
 class IdleConnectionPolicyTest {
-    /** Danger: a connection to each upstream from each of a thousand balancers fills the upstreams' tables. */
+    /** Guards against full connection tables of upstreams to each of which each of a thousand balancers keeps a connection. */
     @Test
-    void closesIdleConnectionsWhereBalancersAreMany() {
+    void closesIdleConnectionsOnlyWhenBalancersAreMany() {
         for (int instances : new int[] {2, 1000}) {
             PolicySimulation play = six(PolicySimulation.settings(instances, 0, 1, false, Scope.ALL), 1);
             for (int i = 0; i < 20; i++) {
--- a/balancer/src/test/java/gorsestack/decision/LatencyEstimatorTest.java
+++ b/balancer/src/test/java/gorsestack/decision/LatencyEstimatorTest.java
@@ -9,7 +9,7 @@
 import gorsestack.decision.Settings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** What attempts teach about an upstream's latency. */
+/** Tests how attempts change the latency estimate of an upstream. */
 class LatencyEstimatorTest {
     private static final Product PRODUCT = PolicySimulation.product("p", Repeat.IDEMPOTENT, Scope.ALL);
 
@@ -20,18 +20,18 @@
     }
 
     @Test
-    void beginsWithTheTypicalLatencyOfTheClass() {
+    void startsWithTypicalLatencyOfClassWhenUpstreamIsNew() {
         LatencyEstimator latencies = new LatencyEstimator(true);
-        UpstreamClass alike = new UpstreamClass();
-        latencies.onLatency(upstream(alike), PRODUCT, PRODUCT.slo() / 2, 0.125);
-        assertEquals(0.5, alike.typicalLatencyRatio);
-        UpstreamState other = upstream(alike);
+        UpstreamClass upstreamClass = new UpstreamClass();
+        latencies.onLatency(upstream(upstreamClass), PRODUCT, PRODUCT.slo() / 2, 0.125);
+        assertEquals(0.5, upstreamClass.typicalLatencyRatio);
+        UpstreamState other = upstream(upstreamClass);
         latencies.onLatency(other, PRODUCT, PRODUCT.slo() / 2, 0.125);
         assertEquals(0.5, other.latencyRatio);
     }
 
     @Test
-    void boundsTheWeightAndTheSample() {
+    void boundsWeightAndLatencyOfSample() {
         UpstreamState upstream = upstream(new UpstreamClass());
         upstream.lastResponseAt = 1000 * MS;
         assertEquals(0.125, LatencyEstimator.sampleWeight(upstream, PRODUCT, 1000 * MS));
@@ -40,9 +40,9 @@
         assertEquals(2, upstream.latencyRatio);
     }
 
-    /** Danger: an upstream that fails quickly would be the fastest. */
+    /** Guards against an upstream that fails quickly and therefore counts as the fastest. */
     @Test
-    void countsAnErrorAsSlow() {
+    void raisesLatencyRatioOnError() {
         UpstreamState upstream = upstream(new UpstreamClass());
         upstream.latencyRatio = 0.1;
         new LatencyEstimator(false).onError(upstream, 0.3);
--- a/balancer/src/test/java/gorsestack/decision/RepeatSafetyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/RepeatSafetyTest.java
@@ -11,7 +11,7 @@
 import gorsestack.decision.Settings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** The rule that no call takes effect twice. */
+/** Tests the rule that no call takes effect twice. */
 class RepeatSafetyTest {
     private static final long SENT_AT = 1000 * MS;
 
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void repeatsAnyCallThatNeverExecuted() {
+    void allowsRepeatOfAnyCallThatNeverExecuted() {
         for (Repeat repeat : Repeat.values()) {
             CallState call = call(repeat, Scope.CELL);
             call.addAttempt(new CallAttempt(upstream(0, "a"), SENT_AT));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void repeatsWhatMayHaveExecutedOnlyWhereThatIsHarmless() {
+    void allowsRepeatOfCallThatMayHaveExecutedOnlyWhenHarmless() {
         for (Repeat repeat : Repeat.values()) {
             CallState call = call(repeat, Scope.CELL);
             call.addAttempt(new CallAttempt(upstream(0, "a"), SENT_AT));
@@ -47,13 +47,13 @@
             assertEquals(repeat == Repeat.IDEMPOTENT, RepeatSafety.mayRepeat(call, windowEnd), repeat.name());
             assertEquals(repeat == Repeat.IDEMPOTENT, RepeatSafety.mayClientRepeat(call), repeat.name());
         }
-        CallState everywhere = call(Repeat.DEDUPLICATED, Scope.ALL);
-        everywhere.addAttempt(new CallAttempt(upstream(0, "a"), SENT_AT));
-        assertTrue(RepeatSafety.mayClientRepeat(everywhere));
+        CallState deduplicatedByAll = call(Repeat.DEDUPLICATED, Scope.ALL);
+        deduplicatedByAll.addAttempt(new CallAttempt(upstream(0, "a"), SENT_AT));
+        assertTrue(RepeatSafety.mayClientRepeat(deduplicatedByAll));
     }
 
     @Test
-    void repeatsADeduplicatedCallOnlyWithinItsScope() {
+    void allowsRepeatOfDeduplicatedCallOnlyWithinItsScope() {
         CallAttempt first = new CallAttempt(upstream(0, "a"), SENT_AT);
         Product inCell = PolicySimulation.product("p", Repeat.DEDUPLICATED, Scope.CELL);
         assertTrue(RepeatSafety.isSafeAt(inCell, first, upstream(0, "b")));
--- a/balancer/src/test/java/gorsestack/decision/RetryBudgetTest.java
+++ b/balancer/src/test/java/gorsestack/decision/RetryBudgetTest.java
@@ -8,25 +8,25 @@
 import gorsestack.decision.Settings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** How many further attempts successful ones pay for. */
+/** Tests how many further attempts the successful ones allow. */
 class RetryBudgetTest {
     private static CallState call() {
         return new CallState("c", 1, PolicySimulation.product("p", Repeat.IDEMPOTENT, Scope.ALL));
     }
 
     @Test
-    void chargesNothingWhileNoAttemptMayHaveExecuted() {
+    void costsNothingWhileNoAttemptMayHaveExecuted() {
         CallState call = call();
         RetryBudget budget = new RetryBudget();
         assertEquals(0, budget.cost(call));
         call.addAttempt(new CallAttempt(new UpstreamState(0), 0));
         call.attempt(0).neverExecuted = true;
         assertEquals(0, budget.cost(call));
-        assertTrue(budget.covers(budget.cost(call)), "an empty budget covers it");
+        assertTrue(budget.covers(budget.cost(call)), "an empty budget covers a cost of 0");
     }
 
     @Test
-    void paysAHedgeWithThirtyFourResponsesAndARetryWithTen() {
+    void coversRetryAfterTenResponsesAndHedgeAfterThirtyFour() {
         CallState call = call();
         call.addAttempt(new CallAttempt(new UpstreamState(0), 0));
         RetryBudget budget = new RetryBudget();
@@ -38,18 +38,18 @@
             budget.onResponse();
             responses++;
         }
-        assertTrue(responses == 10 || responses == 11, "a retry after " + responses);
+        assertTrue(responses == 10 || responses == 11, "number of responses that pay for a retry: " + responses);
         while (!budget.covers(hedge)) {
             budget.onResponse();
             responses++;
         }
-        assertTrue(responses == 34, "a hedge after " + responses);
+        assertTrue(responses == 34, "number of responses that pay for a hedge: " + responses);
         budget.spend(hedge);
         assertFalse(budget.covers(retry));
     }
 
     @Test
-    void savesUpTenHedgesAtMost() {
+    void accumulatesAtMostTenHedges() {
         RetryBudget budget = new RetryBudget();
         for (int i = 0; i < 10_000; i++) {
             budget.onResponse();
--- a/balancer/src/test/java/gorsestack/invariant/SendAuditTest.java
+++ b/balancer/src/test/java/gorsestack/invariant/SendAuditTest.java
@@ -10,7 +10,7 @@
 import gorsestack.decision.Settings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** Each check reports its own violation, and no other. */
+/** Tests that each check reports its own violation and no other. */
 class SendAuditTest {
     private static final long MS = 1_000_000;
     private static final long NEVER = Long.MAX_VALUE;
@@ -28,12 +28,12 @@
     }
 
     @Test
-    void reportsRequestsThatMustNotBeSent() {
+    void reportsRequestThatMustNotBeSent() {
         assertNull(sendViolation(1_000, NEVER, NEVER, NEVER, false, NEVER));
         assertEquals("after_final_answer", sendViolation(1_000, NEVER, NEVER, 999 * MS, false, NEVER));
-        assertNull(sendViolation(1_000, NEVER, NEVER, 950 * MS, true, NEVER), "its client disconnected 0.05 s before");
+        assertNull(sendViolation(1_000, NEVER, NEVER, 950 * MS, true, NEVER), "the client disconnected only 0.05 s before the write");
         assertEquals("client_left", sendViolation(1_000, NEVER, NEVER, 850 * MS, true, NEVER));
-        assertNull(sendViolation(1_000, 900 * MS, NEVER, NEVER, false, NEVER), "the write was delayed by 0.1 s");
+        assertNull(sendViolation(1_000, 900 * MS, NEVER, NEVER, false, NEVER), "the write was delayed by no more than 0.1 s");
         assertEquals("after_its_time", sendViolation(1_000, 800 * MS, NEVER, NEVER, false, NEVER));
         assertEquals("after_repeat_window", sendViolation(1_000, NEVER, 800 * MS, NEVER, false, NEVER));
         assertNull(sendViolation(3_000, NEVER, NEVER, NEVER, false, 1_000 * MS), "within the drain grace");
@@ -49,21 +49,21 @@
     }
 
     @Test
-    void reportsUnsafeRetries() {
-        Endpoint here = upstream("a", 1);
-        Endpoint there = upstream("b", 1);
-        Endpoint next = upstream("a", 2);
-        assertNull(SendAudit.retryViolation(product(Repeat.IDEMPOTENT, Scope.ZONE), 9_000 * MS, 0, here, there));
+    void reportsUnsafeRetry() {
+        Endpoint first = upstream("a", 1);
+        Endpoint inOtherZone = upstream("b", 1);
+        Endpoint inOtherCell = upstream("a", 2);
+        assertNull(SendAudit.retryViolation(product(Repeat.IDEMPOTENT, Scope.ZONE), 9_000 * MS, 0, first, inOtherZone));
         assertEquals(
                 "earlier_may_have_run",
-                SendAudit.retryViolation(product(Repeat.NON_IDEMPOTENT, Scope.ALL), 1, 0, here, here));
-        Product keyed = product(Repeat.DEDUPLICATED, Scope.ZONE);
-        assertNull(SendAudit.retryViolation(keyed, 4_000 * MS, 0, here, next));
-        assertEquals("outside_group", SendAudit.retryViolation(keyed, 4_000 * MS, 0, here, there));
+                SendAudit.retryViolation(product(Repeat.NON_IDEMPOTENT, Scope.ALL), 1, 0, first, first));
+        Product deduplicated = product(Repeat.DEDUPLICATED, Scope.ZONE);
+        assertNull(SendAudit.retryViolation(deduplicated, 4_000 * MS, 0, first, inOtherCell));
+        assertEquals("outside_group", SendAudit.retryViolation(deduplicated, 4_000 * MS, 0, first, inOtherZone));
         assertEquals(
                 "outside_group",
-                SendAudit.retryViolation(product(Repeat.DEDUPLICATED, Scope.CELL), 4_000 * MS, 0, here, next));
-        assertEquals("repeat_window_over", SendAudit.retryViolation(keyed, 5_200 * MS, 0, here, next));
-        assertNull(SendAudit.retryViolation(product(Repeat.DEDUPLICATED, Scope.ALL), 4_000 * MS, 0, here, there));
+                SendAudit.retryViolation(product(Repeat.DEDUPLICATED, Scope.CELL), 4_000 * MS, 0, first, inOtherCell));
+        assertEquals("repeat_window_over", SendAudit.retryViolation(deduplicated, 5_200 * MS, 0, first, inOtherCell));
+        assertNull(SendAudit.retryViolation(product(Repeat.DEDUPLICATED, Scope.ALL), 4_000 * MS, 0, first, inOtherZone));
     }
 }
