--- a/balancer/src/main/java/gorsestack/decision/AdmissionControl.java
+++ b/balancer/src/main/java/gorsestack/decision/AdmissionControl.java
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Compares the attempts in flight with a limit that is lower for products of less value and for calls with less remaining time. Without
-     * that, a storm of retries that can hardly be in time would use up the limit. The mean over the last objective stays within the limit;
-     * the present number may exceed it by its square root, as the number in flight varies more for one of many balancers than their sum.
+     * Compares the attempts in flight with a limit that is lower for products of less value and for calls with less remaining time, as a
+     * storm of retries that can hardly be in time would otherwise use it up. The mean over the last objective stays within the limit; the
+     * present number may exceed it by its square root, as it varies more at one of many balancers than the sum over all of them.
      */
     private boolean admitsByLimit(AdaptiveConcurrencyLimit concurrency, CallState call, long now) {
         concurrency.trackInFlight(now, call.product, 0);
