--- a/balancer/src/main/java/gorsestack/decision/AdmissionControl.java
+++ b/balancer/src/main/java/gorsestack/decision/AdmissionControl.java
@@ -80,7 +80,8 @@
         double timeFraction = Math.min(1, (call.deadline - now) / (double) call.product.slo());
         double limit =
                 concurrency.limit * timeFraction * (1 - valueWeight * (1 - call.product.billedValue() / bestValue));
-        // A call whose body is still arriving needs capacity later, which the mean predicts better than the present number.
+        // A call whose body is still arriving needs capacity later, which the mean predicts better than the present
+        // number.
         return concurrency.recentInFlight < limit
                 && (call.bodyIncomplete
                         || concurrency.inFlight < limit + Math.sqrt(limit * (1 - fleetQuota.ofOwnLocality)));
--- a/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
+++ b/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
@@ -149,7 +149,8 @@
                 ? remainingTime
                 : deadlineAfter(remainingTime < 0 ? call.product.clientTimeout() : remainingTime);
         hedging.plan(call, now);
-        // A late response without value would only delay calls that can still be in time. Applies to calls that nobody repeats.
+        // A late response without value would only delay calls that can still be in time. Applies to calls that nobody
+        // repeats.
         if (!call.bodyIncomplete
                 && call.product.lateBilledValue() <= 0
                 && call.product.repeat() == Settings.Repeat.NON_IDEMPOTENT) {
@@ -235,7 +236,8 @@
         if (outcome == Outcome.TIMED_OUT) {
             reports.onSilence(upstream, duration, now);
         }
-        // The duration of a quick error is no response latency; that of an attempt cut short is only a lower bound of it.
+        // The duration of a quick error is no response latency; that of an attempt cut short is only a lower bound of
+        // it.
         if (outcome == Outcome.FULFILLED || duration > concurrency.latencyRatio * product.slo()) {
             concurrency.onLatency(now, product, duration);
             latencies.onLatency(upstream, product, duration, weight);
--- a/balancer/src/test/java/gorsestack/decision/AdaptiveConcurrencyLimitTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdaptiveConcurrencyLimitTest.java
@@ -30,7 +30,8 @@
     void increasesLimitWhileLatencyIsLowAndElseDecreasesItToMinimum() {
         assertEquals(14 + 100 * 0.05, limitAfter(100, 40 * MS).limit, 1e-9);
         assertEquals(10, limitAfter(1000, 700 * MS).limit);
-        assertTrue(limitAfter(1, 700 * MS).limit >= 0.85 * 14, "a single slow attempt may decrease the limit only once");
+        assertTrue(
+                limitAfter(1, 700 * MS).limit >= 0.85 * 14, "a single slow attempt may decrease the limit only once");
     }
 
     @Test
--- a/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
@@ -61,7 +61,8 @@
             long rejected = play.calls.values().stream()
                     .filter(c -> "rate-limited".equals(c.answer) && c.answeredAt == c.from && c.advice == 100 * MS)
                     .count();
-            assertTrue(tier == 0 ? rejected > 100 : rejected == 0, rejected + " calls rejected at once on tier " + tier);
+            assertTrue(
+                    tier == 0 ? rejected > 100 : rejected == 0, rejected + " calls rejected at once on tier " + tier);
         }
     }
 
@@ -86,7 +87,10 @@
             PolicySimulation play = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
             for (int i = 0; i < 600; i++) {
                 boolean lowPriority = i % 2 == 0;
-                play.call("c" + i, lowPriority || byRemainingTime ? "read" : "once", (lowPriority && byRemainingTime ? 200 : 1000) * MS);
+                play.call(
+                        "c" + i,
+                        lowPriority || byRemainingTime ? "read" : "once",
+                        (lowPriority && byRemainingTime ? 200 : 1000) * MS);
                 play.fulfilLater("c" + i, 150 * MS);
                 play.runTo(play.now + 5 * MS);
             }
--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -36,7 +36,10 @@
                 String id = "c" + i;
                 long remainingTime = (1 + r.nextInt(1200)) * MS;
                 boolean bodyArriving = r.nextInt(8) == 0;
-                play.call(id, List.of("read", "mark", "once").get(r.nextInt(3)), bodyArriving ? Long.MAX_VALUE : remainingTime);
+                play.call(
+                        id,
+                        List.of("read", "mark", "once").get(r.nextInt(3)),
+                        bodyArriving ? Long.MAX_VALUE : remainingTime);
                 if (bodyArriving) {
                     play.at(play.now + r.nextInt(900) * MS, () -> play.whole(id, remainingTime));
                 }
@@ -52,7 +55,8 @@
                 }
                 for (int k = 0; k < 4; k++) {
                     int attempt = k;
-                    Outcome outcome = r.nextDouble() > failureFraction ? Outcome.FULFILLED : Outcome.values()[r.nextInt(10)];
+                    Outcome outcome =
+                            r.nextDouble() > failureFraction ? Outcome.FULFILLED : Outcome.values()[r.nextInt(10)];
                     play.at(play.now + r.nextInt(maxLatencyMillis) * MS, () -> {
                         if (play.calls.get(id).attempts.size() > attempt) {
                             play.end(id, attempt, outcome);
@@ -106,7 +110,8 @@
         }
         LearnedLocality learned = play.policy.exportLearned().get(1);
         assertTrue(learned.concurrencyLimit() < 1.2, "concurrency limit " + learned.concurrencyLimit());
-        // The limit reached its minimum about 2.4 s, six SLOs, earlier; since then 13 calls got responses after 0.45 of their SLO.
+        // The limit reached its minimum about 2.4 s, six SLOs, earlier; since then 13 calls got responses after 0.45 of
+        // their SLO.
         assertTrue(
                 learned.baselineLatencyRatio() > 0.25 && learned.baselineLatencyRatio() < 0.45,
                 "baseline latency as a fraction of the SLO: " + learned.baselineLatencyRatio());
--- a/balancer/src/test/java/gorsestack/decision/DecisionTrace.java
+++ b/balancer/src/test/java/gorsestack/decision/DecisionTrace.java
@@ -51,6 +51,7 @@
     private static final long SETTLING_TIME = 6_000 * MILLISECOND;
     /** Consecutive failures from which an attempt to an upstream counts as {@link ActionKind#ATTEMPT_TO_FAILING}. */
     private static final int FAILING_AFTER_FAILURES = 3;
+
     private static final String[] KINDS = {"", "small", "large"};
     private static final double[] WEIGHTS = {1, 1, 0.5, 2, 0};
 
@@ -106,6 +107,7 @@
     private final double callsPerSecond;
     /** The instance whose policy was called last, which is the source of the actions. */
     private Instance acting;
+
     private double callRateFactor = 1;
     private double latencyFactor = 1;
     private long now = START;
@@ -220,8 +222,7 @@
                 settings.products().get(random.nextInt(settings.products().size()));
         String name = random.nextInt(200) == 0 ? "no such product" : product.name();
         long remainingTime = random.nextBoolean() ? -1 : (20 + random.nextInt(1500)) * MILLISECOND;
-        on(call.instance)
-                .onApiCall(now, call.id, name, "tenant", call.bodyArriving ? Long.MAX_VALUE : remainingTime);
+        on(call.instance).onApiCall(now, call.id, name, "tenant", call.bodyArriving ? Long.MAX_VALUE : remainingTime);
         if (call.bodyArriving) {
             scheduleBody(call);
         }
--- a/balancer/src/test/java/gorsestack/decision/DecisionTraceTest.java
+++ b/balancer/src/test/java/gorsestack/decision/DecisionTraceTest.java
@@ -81,7 +81,9 @@
                 differing.add(seed);
             }
         }
-        assertTrue(differing.isEmpty(), () -> differing.size() + " of " + SEEDS + " seeds have other decisions than stored: " + differing);
+        assertTrue(
+                differing.isEmpty(),
+                () -> differing.size() + " of " + SEEDS + " seeds have other decisions than stored: " + differing);
     }
 
     private static List<String> stored() throws IOException {
--- a/balancer/src/test/java/gorsestack/invariant/SendAuditTest.java
+++ b/balancer/src/test/java/gorsestack/invariant/SendAuditTest.java
@@ -31,9 +31,13 @@
     void reportsRequestThatMustNotBeSent() {
         assertNull(sendViolation(1_000, NEVER, NEVER, NEVER, false, NEVER));
         assertEquals("after_final_answer", sendViolation(1_000, NEVER, NEVER, 999 * MS, false, NEVER));
-        assertNull(sendViolation(1_000, NEVER, NEVER, 950 * MS, true, NEVER), "the client disconnected only 0.05 s before the write");
+        assertNull(
+                sendViolation(1_000, NEVER, NEVER, 950 * MS, true, NEVER),
+                "the client disconnected only 0.05 s before the write");
         assertEquals("client_left", sendViolation(1_000, NEVER, NEVER, 850 * MS, true, NEVER));
-        assertNull(sendViolation(1_000, 900 * MS, NEVER, NEVER, false, NEVER), "the write was delayed by no more than 0.1 s");
+        assertNull(
+                sendViolation(1_000, 900 * MS, NEVER, NEVER, false, NEVER),
+                "the write was delayed by no more than 0.1 s");
         assertEquals("after_its_time", sendViolation(1_000, 800 * MS, NEVER, NEVER, false, NEVER));
         assertEquals("after_repeat_window", sendViolation(1_000, NEVER, 800 * MS, NEVER, false, NEVER));
         assertNull(sendViolation(3_000, NEVER, NEVER, NEVER, false, 1_000 * MS), "within the drain grace");
@@ -64,6 +68,7 @@
                 "outside_group",
                 SendAudit.retryViolation(product(Repeat.DEDUPLICATED, Scope.CELL), 4_000 * MS, 0, first, inOtherCell));
         assertEquals("repeat_window_over", SendAudit.retryViolation(deduplicated, 5_200 * MS, 0, first, inOtherCell));
-        assertNull(SendAudit.retryViolation(product(Repeat.DEDUPLICATED, Scope.ALL), 4_000 * MS, 0, first, inOtherZone));
+        assertNull(
+                SendAudit.retryViolation(product(Repeat.DEDUPLICATED, Scope.ALL), 4_000 * MS, 0, first, inOtherZone));
     }
 }
