--- a/balancer/src/test/java/gorsestack/decision/AdaptiveConcurrencyLimitTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdaptiveConcurrencyLimitTest.java
@@ -45,15 +45,15 @@
     /** Guards against a limit that falls to its minimum because a few attempts that hang raise the mean latency of a fast locality. */
     @Test
     void keepsLimitWhenFewAttemptsHang() {
-        PolicySimulation play = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         for (int i = 0; i < 2000; i++) {
-            play.call("c" + i, "once", 700 * MS);
+            simulation.call("c" + i, "once", 700 * MS);
             if (i % 8 > 0) {
-                play.fulfilLater("c" + i, 50 * MS);
+                simulation.fulfilLater("c" + i, 50 * MS);
             }
-            play.runTo(play.now + 3 * MS);
+            simulation.runTo(simulation.now + 3 * MS);
         }
-        long rejected = play.calls.values().stream()
+        long rejected = simulation.calls.values().stream()
                 .filter(c -> "rate-limited".equals(c.answer))
                 .count();
         assertTrue(rejected < 200, rejected + " calls rejected");
@@ -62,8 +62,8 @@
     /** Guards against overload by a fleet of a hundred balancers, each of which sends at least one call at a time to a few upstreams. */
     @Test
     void limitsBalancerToLessThanOneCallWhenItsQuotaIsSmaller() {
-        PolicySimulation play = six(PolicySimulation.settings(100, 0, 1, false, Scope.ALL), 1);
-        double inFlight = heldDuring(play, 2000, 20 * MS, 300 * MS).getAverage();
+        PolicySimulation simulation = six(PolicySimulation.settings(100, 0, 1, false, Scope.ALL), 1);
+        double inFlight = heldDuring(simulation, 2000, 20 * MS, 300 * MS).getAverage();
         assertTrue(inFlight > 0.1 && inFlight < 0.8, inFlight + " calls in flight on average");
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
@@ -52,13 +52,13 @@
     @Test
     void rejectsCallsAtOnceOnFirstTierWhenLocalitiesAreFullAndLate() {
         for (int tier = 0; tier < 2; tier++) {
-            PolicySimulation play = six(PolicySimulation.settings(1, tier, 2, false, Scope.ALL), 1);
+            PolicySimulation simulation = six(PolicySimulation.settings(1, tier, 2, false, Scope.ALL), 1);
             for (int i = 0; i < 400; i++) {
-                play.call("c" + i, "read", 1000 * MS);
-                play.fulfilLater("c" + i, 350 * MS);
-                play.runTo(play.now + 5 * MS);
+                simulation.call("c" + i, "read", 1000 * MS);
+                simulation.fulfilLater("c" + i, 350 * MS);
+                simulation.runTo(simulation.now + 5 * MS);
             }
-            long rejected = play.calls.values().stream()
+            long rejected = simulation.calls.values().stream()
                     .filter(c -> "rate-limited".equals(c.answer) && c.answeredAt == c.from && c.advice == 100 * MS)
                     .count();
             assertTrue(
@@ -72,11 +72,11 @@
      */
     @Test
     void keepsWithinLimitWhenAnotherLocalityIsUnusable() {
-        PolicySimulation play = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
         for (int u = 3; u < 6; u++) {
-            play.tell(Kind.DELTA, entry("u" + u, EndpointState.READY, play.now, u / 2, "b"));
+            simulation.tell(Kind.DELTA, entry("u" + u, EndpointState.READY, simulation.now, u / 2, "b"));
         }
-        int maxInFlight = heldDuring(play, 400, 5 * MS, 600 * MS).getMax();
+        int maxInFlight = heldDuring(simulation, 400, 5 * MS, 600 * MS).getMax();
         assertTrue(maxInFlight > 5 && maxInFlight < 40, maxInFlight + " calls in flight at once");
     }
 
@@ -84,18 +84,18 @@
     @Test
     void rejectsCallsOfLowValueOrLittleRemainingTimeFirstWhenOverloaded() {
         for (boolean byRemainingTime : List.of(false, true)) {
-            PolicySimulation play = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+            PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
             for (int i = 0; i < 600; i++) {
                 boolean lowPriority = i % 2 == 0;
-                play.call(
+                simulation.call(
                         "c" + i,
                         lowPriority || byRemainingTime ? "read" : "once",
                         (lowPriority && byRemainingTime ? 200 : 1000) * MS);
-                play.fulfilLater("c" + i, 150 * MS);
-                play.runTo(play.now + 5 * MS);
+                simulation.fulfilLater("c" + i, 150 * MS);
+                simulation.runTo(simulation.now + 5 * MS);
             }
             long[] fulfilled = new long[2];
-            play.calls.values().stream()
+            simulation.calls.values().stream()
                     .filter(c -> "fulfilled".equals(c.answer))
                     .forEach(c -> fulfilled[Integer.parseInt(c.id.substring(1)) % 2]++);
             assertTrue(
@@ -108,13 +108,13 @@
     @Test
     void spreadsAdvisedRetryDelayWhenJitterIsSet() {
         for (double jitter : new double[] {0, 0.5, 1}) {
-            PolicySimulation play = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
-            play.policy.setRetryAfterJitter(jitter);
+            PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+            simulation.policy.setRetryAfterJitter(jitter);
             for (int i = 0; i < 400; i++) {
-                play.call("c" + i, "read", 1000 * MS);
-                play.runTo(play.now + MS);
+                simulation.call("c" + i, "read", 1000 * MS);
+                simulation.runTo(simulation.now + MS);
             }
-            var delays = play.calls.values().stream()
+            var delays = simulation.calls.values().stream()
                     .filter(c -> "rate-limited".equals(c.answer))
                     .mapToLong(c -> c.advice)
                     .summaryStatistics();
--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -26,28 +26,28 @@
                     1 + r.nextInt(4),
                     r.nextBoolean(),
                     Scope.values()[r.nextInt(3)]);
-            PolicySimulation play = six(
+            PolicySimulation simulation = six(
                     seed % 2 == 0 ? settings : PolicySimulation.reporting(settings, r.nextInt(settings.instances())),
                     seed);
             int maxLatencyMillis = 20 + r.nextInt(1500);
             double failureFraction = r.nextDouble();
             for (int i = 0; i < 400; i++) {
-                play.runTo(play.now + r.nextInt(40) * MS);
+                simulation.runTo(simulation.now + r.nextInt(40) * MS);
                 String id = "c" + i;
                 long remainingTime = (1 + r.nextInt(1200)) * MS;
                 boolean bodyArriving = r.nextInt(8) == 0;
-                play.call(
+                simulation.call(
                         id,
                         List.of("read", "mark", "once").get(r.nextInt(3)),
                         bodyArriving ? Long.MAX_VALUE : remainingTime);
                 if (bodyArriving) {
-                    play.at(play.now + r.nextInt(900) * MS, () -> play.whole(id, remainingTime));
+                    simulation.at(simulation.now + r.nextInt(900) * MS, () -> simulation.whole(id, remainingTime));
                 }
                 if (r.nextInt(30) == 0) {
-                    play.maintenance("u" + r.nextInt(6), r.nextBoolean());
-                    play.policy.setQuota(play.now, r.nextBoolean() ? 1 : 0.5);
-                    play.policy.restoreLearned(
-                            play.now,
+                    simulation.maintenance("u" + r.nextInt(6), r.nextBoolean());
+                    simulation.policy.setQuota(simulation.now, r.nextBoolean() ? 1 : 0.5);
+                    simulation.policy.restoreLearned(
+                            simulation.now,
                             List.of(
                                     LearnedLocality.ofRow(r.nextInt(9) - 1, 0.3, 0.2, 5),
                                     LearnedLocality.ofRow(Double.NaN, 1, 1, 1),
@@ -57,37 +57,37 @@
                     int attempt = k;
                     Outcome outcome =
                             r.nextDouble() > failureFraction ? Outcome.FULFILLED : Outcome.values()[r.nextInt(10)];
-                    play.at(play.now + r.nextInt(maxLatencyMillis) * MS, () -> {
-                        if (play.calls.get(id).attempts.size() > attempt) {
-                            play.end(id, attempt, outcome);
+                    simulation.at(simulation.now + r.nextInt(maxLatencyMillis) * MS, () -> {
+                        if (simulation.calls.get(id).attempts.size() > attempt) {
+                            simulation.end(id, attempt, outcome);
                         }
                     });
                 }
                 if (r.nextInt(20) == 0) {
                     int u = r.nextInt(6);
                     EndpointState state = EndpointState.values()[r.nextInt(3)];
-                    play.tell(
+                    simulation.tell(
                             Kind.DELTA,
-                            entry("u" + u, state, r.nextInt(3) == 0 ? play.now : 0, u / 2, u < 3 ? "a" : "b"));
+                            entry("u" + u, state, r.nextInt(3) == 0 ? simulation.now : 0, u / 2, u < 3 ? "a" : "b"));
                 }
                 // Load reports and peer messages are partly valid and partly malformed.
                 double[] values = {-1, 0, 3, 40, 1e300, Double.NaN, Double.POSITIVE_INFINITY};
                 double[] row =
                         r.doubles(r.nextInt(4)).map(x -> values[(int) (x * 7)]).toArray();
-                play.policy.onLoadReport(play.now, "u" + r.nextInt(8), r.nextInt(9) == 0 ? null : row);
+                simulation.policy.onLoadReport(simulation.now, "u" + r.nextInt(8), r.nextInt(9) == 0 ? null : row);
                 byte[] message = new byte[r.nextInt(300)];
                 r.nextBytes(message);
-                if (!play.told.isEmpty() && r.nextBoolean()) {
-                    message = play.told.get(r.nextInt(play.told.size()));
+                if (!simulation.told.isEmpty() && r.nextBoolean()) {
+                    message = simulation.told.get(r.nextInt(simulation.told.size()));
                 } else if (message.length > 0) {
                     message[0] = (byte) r.nextInt(3);
                 }
-                play.policy.onPeerMessage(play.now, message);
+                simulation.policy.onPeerMessage(simulation.now, message);
                 if (r.nextInt(100) == 0) {
-                    play.tell(Kind.FAILED);
+                    simulation.tell(Kind.FAILED);
                 }
             }
-            play.settle();
+            simulation.settle();
         }
     }
 
@@ -98,17 +98,17 @@
     @Test
     void learnsBaselineLatencyFromFewResponsesAtMinimumLimit() {
         // The upstream is the only one of another zone, so this balancer's minimum limit there is one call.
-        PolicySimulation play = new PolicySimulation(PolicySimulation.settings(3, 0, 2, false, Scope.ALL), 1);
-        play.tell(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "b"));
+        PolicySimulation simulation = new PolicySimulation(PolicySimulation.settings(3, 0, 2, false, Scope.ALL), 1);
+        simulation.tell(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "b"));
         for (int i = 0; i < 60; i++) {
             String id = "c" + i;
-            play.call(id, "once", 990 * MS);
-            if (!play.calls.get(id).attempts.isEmpty()) {
-                play.fulfilLater(id, 180 * MS);
+            simulation.call(id, "once", 990 * MS);
+            if (!simulation.calls.get(id).attempts.isEmpty()) {
+                simulation.fulfilLater(id, 180 * MS);
             }
-            play.runTo(play.now + 60 * MS);
+            simulation.runTo(simulation.now + 60 * MS);
         }
-        LearnedLocality learned = play.policy.exportLearned().get(1);
+        LearnedLocality learned = simulation.policy.exportLearned().get(1);
         assertTrue(learned.concurrencyLimit() < 1.2, "concurrency limit " + learned.concurrencyLimit());
         // The limit reached its minimum about 2.4 s, six SLOs, earlier; since then 13 calls got responses after 0.45 of
         // their SLO.
--- a/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
@@ -52,43 +52,43 @@
     /** The second attempt starts after the lesser of half the remaining time and 0.6 of the SLO; the first success cancels the other. */
     @Test
     void startsSecondAttemptAfterHedgingDelayAndCancelsSlowerOne() {
-        PolicySimulation play = six(PolicySimulation.settings(1, 0, 4, false, Scope.ALL), 1);
+        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 4, false, Scope.ALL), 1);
         for (int i = 0; i < 40; i++) {
-            play.call("paid" + i, "read", 1000 * MS);
-            play.end("paid" + i, 0, Outcome.FULFILLED);
+            simulation.call("paid" + i, "read", 1000 * MS);
+            simulation.end("paid" + i, 0, Outcome.FULFILLED);
         }
-        play.call("c", "read", 1000 * MS);
-        play.runTo(play.now + 235 * MS);
-        assertEquals(1, play.calls.get("c").attempts.size());
-        play.runTo(play.now + 10 * MS);
-        assertEquals(2, play.calls.get("c").attempts.size());
-        play.end("c", 1, Outcome.FULFILLED);
-        assertEquals("fulfilled", play.calls.get("c").answer);
-        assertTrue(play.calls.get("c").attempts.get(0).cancelled);
-        play.settle();
+        simulation.call("c", "read", 1000 * MS);
+        simulation.runTo(simulation.now + 235 * MS);
+        assertEquals(1, simulation.calls.get("c").attempts.size());
+        simulation.runTo(simulation.now + 10 * MS);
+        assertEquals(2, simulation.calls.get("c").attempts.size());
+        simulation.end("c", 1, Outcome.FULFILLED);
+        assertEquals("fulfilled", simulation.calls.get("c").answer);
+        assertTrue(simulation.calls.get("c").attempts.get(0).cancelled);
+        simulation.settle();
     }
 
     /** Guards against calls that fail within milliseconds, deduplicated ones after one attempt, on resets and malformed responses. */
     @Test
     void retriesAtOnceWhenNoAttemptIsInFlight() {
-        PolicySimulation play = new PolicySimulation(PolicySimulation.settings(1, 0, 4, false, Scope.ZONE), 1);
-        play.tell(
+        PolicySimulation simulation = new PolicySimulation(PolicySimulation.settings(1, 0, 4, false, Scope.ZONE), 1);
+        simulation.tell(
                 Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"), entry("u1", EndpointState.READY, 0, 1, "b"));
         for (int i = 0; i < 400; i++) {
-            play.call("w" + i, "once", 1000 * MS);
-            play.end("w" + i, 0, Outcome.FULFILLED);
+            simulation.call("w" + i, "once", 1000 * MS);
+            simulation.end("w" + i, 0, Outcome.FULFILLED);
         }
         for (String product : List.of("mark", "read")) {
-            play.call(product, product, 1000 * MS);
-            PolicySimulation.ApiCall c = play.calls.get(product);
-            play.end(product, 0, Outcome.BROKEN);
+            simulation.call(product, product, 1000 * MS);
+            PolicySimulation.ApiCall c = simulation.calls.get(product);
+            simulation.end(product, 0, Outcome.BROKEN);
             assertEquals(2, c.attempts.size(), "attempts right after the reset");
-            play.end(product, 1, Outcome.MALFORMED_RESPONSE);
+            simulation.end(product, 1, Outcome.MALFORMED_RESPONSE);
             assertEquals(3, c.attempts.size());
-            play.end(product, 2, Outcome.FULFILLED);
+            simulation.end(product, 2, Outcome.FULFILLED);
             assertEquals("fulfilled", c.answer);
         }
-        play.settle();
+        simulation.settle();
     }
 
     /**
@@ -97,32 +97,32 @@
      */
     @Test
     void givesUnbufferedBodyOneAttemptAndStartsItsTimeoutAtLastByte() {
-        PolicySimulation play = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
-        play.call("lost", "read", Long.MAX_VALUE);
-        play.end("lost", 0, Outcome.UNREACHABLE);
-        assertEquals(2, play.calls.get("lost").attempts.size(), "the body is still buffered");
-        play.calls.get("lost").bound = true;
-        play.policy.onRequestBody(play.now, "lost", -1);
-        play.end("lost", 1, Outcome.UNREACHABLE);
-        assertEquals("rate-limited", play.calls.get("lost").answer);
-        play.call("slow", "read", Long.MAX_VALUE);
-        String waitingUpstream = play.calls.get("slow").attempts.get(0).upstream;
-        play.runTo(play.now + 5_000 * MS);
+        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+        simulation.call("lost", "read", Long.MAX_VALUE);
+        simulation.end("lost", 0, Outcome.UNREACHABLE);
+        assertEquals(2, simulation.calls.get("lost").attempts.size(), "the body is still buffered");
+        simulation.calls.get("lost").bound = true;
+        simulation.policy.onRequestBody(simulation.now, "lost", -1);
+        simulation.end("lost", 1, Outcome.UNREACHABLE);
+        assertEquals("rate-limited", simulation.calls.get("lost").answer);
+        simulation.call("slow", "read", Long.MAX_VALUE);
+        String waitingUpstream = simulation.calls.get("slow").attempts.get(0).upstream;
+        simulation.runTo(simulation.now + 5_000 * MS);
         int callsToWaitingUpstream = 0;
         for (int i = 0; i < 60; i++) {
-            play.call("c" + i, "once", 1000 * MS);
+            simulation.call("c" + i, "once", 1000 * MS);
             callsToWaitingUpstream +=
-                    play.calls.get("c" + i).attempts.get(0).upstream.equals(waitingUpstream) ? 1 : 0;
-            play.fulfilLater("c" + i, 20 * MS);
-            play.runTo(play.now + 30 * MS);
+                    simulation.calls.get("c" + i).attempts.get(0).upstream.equals(waitingUpstream) ? 1 : 0;
+            simulation.fulfilLater("c" + i, 20 * MS);
+            simulation.runTo(simulation.now + 30 * MS);
         }
         assertTrue(callsToWaitingUpstream > 5, callsToWaitingUpstream + " calls to the upstream that waits for a body");
-        assertEquals(null, play.calls.get("slow").answer);
-        play.whole("slow", 1000 * MS);
-        play.runTo(play.now + 900 * MS);
-        assertEquals(null, play.calls.get("slow").answer);
-        play.settle();
-        assertEquals(1, play.calls.get("slow").attempts.size());
+        assertEquals(null, simulation.calls.get("slow").answer);
+        simulation.whole("slow", 1000 * MS);
+        simulation.runTo(simulation.now + 900 * MS);
+        assertEquals(null, simulation.calls.get("slow").answer);
+        simulation.settle();
+        assertEquals(1, simulation.calls.get("slow").attempts.size());
     }
 
     /** Guards against late responses without value that delay the calls behind them: such a call ends at its SLO. */
@@ -140,7 +140,7 @@
                         p.billedValue(),
                         0))
                 .toList();
-        PolicySimulation play = six(
+        PolicySimulation simulation = six(
                 new Settings(
                         0,
                         1,
@@ -157,11 +157,11 @@
                         0,
                         MS),
                 1);
-        play.call("once", "once", 1000 * MS);
-        play.call("mark", "mark", 1000 * MS);
-        play.runTo(play.now + 450 * MS);
-        assertEquals("errored", play.calls.get("once").answer);
-        assertEquals(400, (play.calls.get("once").answeredAt - play.calls.get("once").from) / MS);
-        assertEquals(null, play.calls.get("mark").answer);
+        simulation.call("once", "once", 1000 * MS);
+        simulation.call("mark", "mark", 1000 * MS);
+        simulation.runTo(simulation.now + 450 * MS);
+        assertEquals("errored", simulation.calls.get("once").answer);
+        assertEquals(400, (simulation.calls.get("once").answeredAt - simulation.calls.get("once").from) / MS);
+        assertEquals(null, simulation.calls.get("mark").answer);
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/IdleConnectionPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/IdleConnectionPolicyTest.java
@@ -13,13 +13,15 @@
     @Test
     void closesIdleConnectionsOnlyWhenBalancersAreMany() {
         for (int instances : new int[] {2, 1000}) {
-            PolicySimulation play = six(PolicySimulation.settings(instances, 0, 1, false, Scope.ALL), 1);
+            PolicySimulation simulation = six(PolicySimulation.settings(instances, 0, 1, false, Scope.ALL), 1);
             for (int i = 0; i < 20; i++) {
-                play.call("c" + i, "once", 1000 * MS);
-                play.fulfilLater("c" + i, 10 * MS);
-                play.runTo(play.now + 3000 * MS);
+                simulation.call("c" + i, "once", 1000 * MS);
+                simulation.fulfilLater("c" + i, 10 * MS);
+                simulation.runTo(simulation.now + 3000 * MS);
             }
-            assertTrue(instances == 2 ? play.closes == 0 : play.closes >= 15, instances + ": " + play.closes);
+            assertTrue(
+                    instances == 2 ? simulation.closes == 0 : simulation.closes >= 15,
+                    instances + ": " + simulation.closes);
         }
     }
 }
