--- a/balancer/src/test/java/gorsestack/decision/AdaptiveConcurrencyLimitTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdaptiveConcurrencyLimitTest.java
@@ -54,7 +54,7 @@
             simulation.runTo(simulation.now + 3 * MS);
         }
         long rejected = simulation.calls.values().stream()
-                .filter(c -> "rate-limited".equals(c.answer))
+                .filter(c -> "rate-limited".equals(c.response))
                 .count();
         assertTrue(rejected < 200, rejected + " calls rejected");
     }
--- a/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
@@ -59,7 +59,7 @@
                 simulation.runTo(simulation.now + 5 * MS);
             }
             long rejected = simulation.calls.values().stream()
-                    .filter(c -> "rate-limited".equals(c.answer) && c.answeredAt == c.from && c.advice == 100 * MS)
+                    .filter(c -> "rate-limited".equals(c.response) && c.answeredAt == c.from && c.advice == 100 * MS)
                     .count();
             assertTrue(
                     tier == 0 ? rejected > 100 : rejected == 0, rejected + " calls rejected at once on tier " + tier);
@@ -96,7 +96,7 @@
             }
             long[] fulfilled = new long[2];
             simulation.calls.values().stream()
-                    .filter(c -> "fulfilled".equals(c.answer))
+                    .filter(c -> "fulfilled".equals(c.response))
                     .forEach(c -> fulfilled[Integer.parseInt(c.id.substring(1)) % 2]++);
             assertTrue(
                     fulfilled[1] > 2 * fulfilled[0] && fulfilled[0] > 0,
@@ -115,7 +115,7 @@
                 simulation.runTo(simulation.now + MS);
             }
             var delays = simulation.calls.values().stream()
-                    .filter(c -> "rate-limited".equals(c.answer))
+                    .filter(c -> "rate-limited".equals(c.response))
                     .mapToLong(c -> c.advice)
                     .summaryStatistics();
             assertTrue(
--- a/balancer/src/test/java/gorsestack/decision/FleetMembershipTest.java
+++ b/balancer/src/test/java/gorsestack/decision/FleetMembershipTest.java
@@ -72,7 +72,7 @@
         simulation.call("none", "once", 1000 * MS);
         assertEquals(
                 "rate-limited",
-                simulation.calls.get("none").answer,
+                simulation.calls.get("none").response,
                 "immediate response while all upstreams are in maintenance");
         simulation.settle();
     }
--- a/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
@@ -63,7 +63,7 @@
         simulation.runTo(simulation.now + 10 * MS);
         assertEquals(2, simulation.calls.get("c").attempts.size());
         simulation.end("c", 1, Outcome.FULFILLED);
-        assertEquals("fulfilled", simulation.calls.get("c").answer);
+        assertEquals("fulfilled", simulation.calls.get("c").response);
         assertTrue(simulation.calls.get("c").attempts.get(0).cancelled);
         simulation.settle();
     }
@@ -86,7 +86,7 @@
             simulation.end(product, 1, Outcome.MALFORMED_RESPONSE);
             assertEquals(3, c.attempts.size());
             simulation.end(product, 2, Outcome.FULFILLED);
-            assertEquals("fulfilled", c.answer);
+            assertEquals("fulfilled", c.response);
         }
         simulation.settle();
     }
@@ -104,7 +104,7 @@
         simulation.calls.get("lost").bound = true;
         simulation.policy.onRequestBody(simulation.now, "lost", -1);
         simulation.end("lost", 1, Outcome.UNREACHABLE);
-        assertEquals("rate-limited", simulation.calls.get("lost").answer);
+        assertEquals("rate-limited", simulation.calls.get("lost").response);
         simulation.call("slow", "read", Long.MAX_VALUE);
         String waitingUpstream = simulation.calls.get("slow").attempts.get(0).upstream;
         simulation.runTo(simulation.now + 5_000 * MS);
@@ -117,10 +117,10 @@
             simulation.runTo(simulation.now + 30 * MS);
         }
         assertTrue(callsToWaitingUpstream > 5, callsToWaitingUpstream + " calls to the upstream that waits for a body");
-        assertEquals(null, simulation.calls.get("slow").answer);
+        assertEquals(null, simulation.calls.get("slow").response);
         simulation.whole("slow", 1000 * MS);
         simulation.runTo(simulation.now + 900 * MS);
-        assertEquals(null, simulation.calls.get("slow").answer);
+        assertEquals(null, simulation.calls.get("slow").response);
         simulation.settle();
         assertEquals(1, simulation.calls.get("slow").attempts.size());
     }
@@ -160,8 +160,8 @@
         simulation.call("once", "once", 1000 * MS);
         simulation.call("mark", "mark", 1000 * MS);
         simulation.runTo(simulation.now + 450 * MS);
-        assertEquals("errored", simulation.calls.get("once").answer);
+        assertEquals("errored", simulation.calls.get("once").response);
         assertEquals(400, (simulation.calls.get("once").answeredAt - simulation.calls.get("once").from) / MS);
-        assertEquals(null, simulation.calls.get("mark").answer);
+        assertEquals(null, simulation.calls.get("mark").response);
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -35,7 +35,7 @@
 
     /** A call of a client, with the response that it got and the attempts that were made for it. */
     static final class ApiCall {
-        String id, answer;
+        String id, response;
         Product product;
         long from, deadline, answeredAt, advice;
         boolean bound;
@@ -89,7 +89,7 @@
             simulation.fulfilLater("c" + i, latency);
             simulation.runTo(simulation.now + interval);
             pending.accept((int) simulation.calls.values().stream()
-                    .filter(call -> call.answer == null)
+                    .filter(call -> call.response == null)
                     .count());
         }
         return pending;
@@ -185,11 +185,11 @@
      */
     void whole(String id, long remainingTime) {
         ApiCall call = calls.get(id);
-        if (call.answer == null) {
+        if (call.response == null) {
             call.bound = true;
             policy.onRequestBody(now, id, -1);
         }
-        if (call.answer == null) {
+        if (call.response == null) {
             call.deadline = now + remainingTime;
             policy.onRequestBody(now, id, remainingTime);
         }
@@ -222,14 +222,14 @@
                     number,
                     outcome,
                     now - attempt.sentAt,
-                    outcome == Outcome.FULFILLED || call.answer != null);
+                    outcome == Outcome.FULFILLED || call.response != null);
         }
     }
 
     /** Schedules the success of the call's first attempt, unless the call has its response by then. */
     void fulfilLater(String id, long delay) {
         at(now + delay, () -> {
-            if (calls.get(id).answer == null) {
+            if (calls.get(id).response == null) {
                 end(id, 0, Outcome.FULFILLED);
             }
         });
@@ -247,7 +247,7 @@
     @Override
     public void startAttempt(String id, String upstream, long timeout) {
         ApiCall call = calls.get(id);
-        if (call.answer != null || now >= call.deadline) {
+        if (call.response != null || now >= call.deadline) {
             addViolation("attempt after the response or the deadline", call);
         }
         if (endpoints.get(upstream) == null || endpoints.get(upstream).state() != EndpointState.READY) {
@@ -295,15 +295,15 @@
         at(now, () -> end(id, attempt, Outcome.CANCELLED));
     }
 
-    private void respond(String id, String answer) {
+    private void respond(String id, String response) {
         ApiCall call = calls.get(id);
-        if (call.answer != null) {
+        if (call.response != null) {
             addViolation("second response", call);
         }
         if (now >= call.deadline) {
             addViolation("response after the deadline", call);
         }
-        call.answer = answer;
+        call.response = response;
         call.answeredAt = now;
     }
 
@@ -365,7 +365,7 @@
     void settle() {
         runTo(now + 10_000 * MS);
         for (ApiCall call : calls.values()) {
-            if (call.answer == null) {
+            if (call.response == null) {
                 addViolation("no response", call);
             }
         }
