--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -37,7 +37,7 @@
     static final class ApiCall {
         String id, response;
         Product product;
-        long from, deadline, answeredAt, advice;
+        long from, deadline, respondedAt, advice;
         boolean bound;
         List<Attempt> attempts = new ArrayList<>();
     }
@@ -304,7 +304,7 @@
             addViolation("response after the deadline", call);
         }
         call.response = response;
-        call.answeredAt = now;
+        call.respondedAt = now;
     }
 
     @Override
