--- a/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
@@ -161,7 +161,7 @@
         simulation.call("mark", "mark", 1000 * MS);
         simulation.runTo(simulation.now + 450 * MS);
         assertEquals("errored", simulation.calls.get("once").response);
-        assertEquals(400, (simulation.calls.get("once").respondedAt - simulation.calls.get("once").from) / MS);
+        assertEquals(400, (simulation.calls.get("once").respondedAt - simulation.calls.get("once").startedAt) / MS);
         assertEquals(null, simulation.calls.get("mark").response);
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -37,7 +37,7 @@
     static final class ApiCall {
         String id, response;
         Product product;
-        long from, deadline, respondedAt, advice;
+        long startedAt, deadline, respondedAt, advice;
         boolean bound;
         List<Attempt> attempts = new ArrayList<>();
     }
@@ -166,7 +166,7 @@
                 .filter(p -> p.name().equals(product))
                 .findFirst()
                 .orElseThrow();
-        call.from = now;
+        call.startedAt = now;
         call.deadline = remainingTime == Long.MAX_VALUE ? remainingTime : now + remainingTime;
         calls.put(id, call);
         policy.onApiCall(now, id, product, "t", remainingTime);
@@ -236,8 +236,8 @@
     }
 
     private void addViolation(String violation, ApiCall call) {
-        violations.add(violation + " for " + call.id + " (" + call.product.name() + ") after " + (now - call.from) / MS
-                + " ms");
+        violations.add(violation + " for " + call.id + " (" + call.product.name() + ") after "
+                + (now - call.startedAt) / MS + " ms");
     }
 
     private static boolean mayHaveExecuted(Attempt attempt) {
