--- a/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
@@ -101,7 +101,7 @@
         simulation.call("lost", "read", Long.MAX_VALUE);
         simulation.end("lost", 0, Outcome.UNREACHABLE);
         assertEquals(2, simulation.calls.get("lost").attempts.size(), "the body is still buffered");
-        simulation.calls.get("lost").bound = true;
+        simulation.calls.get("lost").notReplayable = true;
         simulation.policy.onRequestBody(simulation.now, "lost", -1);
         simulation.end("lost", 1, Outcome.UNREACHABLE);
         assertEquals("rate-limited", simulation.calls.get("lost").response);
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -38,7 +38,7 @@
         String id, response;
         Product product;
         long startedAt, deadline, respondedAt, advice;
-        boolean bound;
+        boolean notReplayable;
         List<Attempt> attempts = new ArrayList<>();
     }
 
@@ -186,7 +186,7 @@
     void whole(String id, long remainingTime) {
         ApiCall call = calls.get(id);
         if (call.response == null) {
-            call.bound = true;
+            call.notReplayable = true;
             policy.onRequestBody(now, id, -1);
         }
         if (call.response == null) {
@@ -256,7 +256,7 @@
         if (inMaintenance.contains(upstream)) {
             addViolation("attempt to an upstream in maintenance", call);
         }
-        if (call.bound) {
+        if (call.notReplayable) {
             addViolation("repeat of a request whose body was not kept", call);
         }
         if (call.attempts.size() >= settings.limits().maxAttempts()) {
