--- a/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
@@ -59,8 +59,9 @@
                 simulation.runTo(simulation.now + 5 * MS);
             }
             long rejected = simulation.calls.values().stream()
-                    .filter(c ->
-                            "rate-limited".equals(c.response) && c.respondedAt == c.startedAt && c.advice == 100 * MS)
+                    .filter(c -> "rate-limited".equals(c.response)
+                            && c.respondedAt == c.startedAt
+                            && c.retryAfter == 100 * MS)
                     .count();
             assertTrue(
                     tier == 0 ? rejected > 100 : rejected == 0, rejected + " calls rejected at once on tier " + tier);
@@ -117,7 +118,7 @@
             }
             var delays = simulation.calls.values().stream()
                     .filter(c -> "rate-limited".equals(c.response))
-                    .mapToLong(c -> c.advice)
+                    .mapToLong(c -> c.retryAfter)
                     .summaryStatistics();
             assertTrue(
                     delays.getCount() > 100
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -37,7 +37,7 @@
     static final class ApiCall {
         String id, response;
         Product product;
-        long startedAt, deadline, respondedAt, advice;
+        long startedAt, deadline, respondedAt, retryAfter;
         boolean notReplayable;
         List<Attempt> attempts = new ArrayList<>();
     }
@@ -318,7 +318,7 @@
         if (!isRepeatHarmless(call)) {
             addViolation("rate-limit response although a repeat may do harm", call);
         }
-        call.advice = retryAfter;
+        call.retryAfter = retryAfter;
         respond(id, "rate-limited");
     }
 
