--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -77,8 +77,8 @@
                 simulation.policy.onLoadReport(simulation.now, "u" + r.nextInt(8), r.nextInt(9) == 0 ? null : row);
                 byte[] message = new byte[r.nextInt(300)];
                 r.nextBytes(message);
-                if (!simulation.told.isEmpty() && r.nextBoolean()) {
-                    message = simulation.told.get(r.nextInt(simulation.told.size()));
+                if (!simulation.peerMessages.isEmpty() && r.nextBoolean()) {
+                    message = simulation.peerMessages.get(r.nextInt(simulation.peerMessages.size()));
                 } else if (message.length > 0) {
                     message[0] = (byte) r.nextInt(3);
                 }
--- a/balancer/src/test/java/gorsestack/decision/LoadReportsTest.java
+++ b/balancer/src/test/java/gorsestack/decision/LoadReportsTest.java
@@ -75,10 +75,10 @@
             peer.policy.onLoadReport(peer.now, "u9", new double[] {30, 3});
             peer.call("t" + i, "once", 1000 * MS);
             peer.end("t" + i, 0, Outcome.FULFILLED);
-            simulation.policy.onPeerMessage(simulation.now, peer.told.get(peer.told.size() - 1));
+            simulation.policy.onPeerMessage(simulation.now, peer.peerMessages.get(peer.peerMessages.size() - 1));
         });
         assertTrue(byPeerMessages < 12, byPeerMessages + " calls to the slow upstream with messages of a peer");
-        assertEquals(200, peer.told.size(), "two peer messages for each response");
+        assertEquals(200, peer.peerMessages.size(), "two peer messages for each response");
     }
 
     /**
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -55,7 +55,7 @@
     long now = 1000 * MS;
     int startedWatches;
     int closes;
-    final List<byte[]> told = new ArrayList<>();
+    final List<byte[]> peerMessages = new ArrayList<>();
     private final PriorityQueue<ScheduledAction> scheduledActions = new PriorityQueue<>(
             (a, b) -> a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.sequence, b.sequence));
     private long nextSequence;
@@ -348,7 +348,7 @@
         if (peer == settings.instanceIndex() || peer < 0 || peer >= settings.instances() || message.length > 256) {
             violations.add("peer message of " + message.length + " bytes to balancer " + peer);
         }
-        told.add(message);
+        peerMessages.add(message);
     }
 
     @Override
