--- a/balancer/src/test/java/gorsestack/decision/IdleConnectionPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/IdleConnectionPolicyTest.java
@@ -20,8 +20,8 @@
                 simulation.runTo(simulation.now + 3000 * MS);
             }
             assertTrue(
-                    instances == 2 ? simulation.closes == 0 : simulation.closes >= 15,
-                    instances + ": " + simulation.closes);
+                    instances == 2 ? simulation.idleConnectionCloses == 0 : simulation.idleConnectionCloses >= 15,
+                    instances + ": " + simulation.idleConnectionCloses);
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -54,7 +54,7 @@
     final BalancingPolicy policy;
     long now = 1000 * MS;
     int startedWatches;
-    int closes;
+    int idleConnectionCloses;
     final List<byte[]> peerMessages = new ArrayList<>();
     private final PriorityQueue<ScheduledAction> scheduledActions = new PriorityQueue<>(
             (a, b) -> a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.sequence, b.sequence));
@@ -353,7 +353,7 @@
 
     @Override
     public void closeIdleConnections(String upstream) {
-        closes++;
+        idleConnectionCloses++;
     }
 
     @Override
