--- a/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
@@ -76,7 +76,7 @@
     void keepsWithinLimitWhenAnotherLocalityIsUnusable() {
         PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
         for (int u = 3; u < 6; u++) {
-            simulation.tell(Kind.DELTA, entry("u" + u, EndpointState.READY, simulation.now, u / 2, "b"));
+            simulation.updateEndpoints(Kind.DELTA, entry("u" + u, EndpointState.READY, simulation.now, u / 2, "b"));
         }
         int maxInFlight = heldDuring(simulation, 400, 5 * MS, 600 * MS).getMax();
         assertTrue(maxInFlight > 5 && maxInFlight < 40, maxInFlight + " calls in flight at once");
--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -66,7 +66,7 @@
                 if (r.nextInt(20) == 0) {
                     int u = r.nextInt(6);
                     EndpointState state = EndpointState.values()[r.nextInt(3)];
-                    simulation.tell(
+                    simulation.updateEndpoints(
                             Kind.DELTA,
                             entry("u" + u, state, r.nextInt(3) == 0 ? simulation.now : 0, u / 2, u < 3 ? "a" : "b"));
                 }
@@ -84,7 +84,7 @@
                 }
                 simulation.policy.onPeerMessage(simulation.now, message);
                 if (r.nextInt(100) == 0) {
-                    simulation.tell(Kind.FAILED);
+                    simulation.updateEndpoints(Kind.FAILED);
                 }
             }
             simulation.settle();
@@ -99,7 +99,7 @@
     void learnsBaselineLatencyFromFewResponsesAtMinimumLimit() {
         // The upstream is the only one of another zone, so this balancer's minimum limit there is one call.
         PolicySimulation simulation = new PolicySimulation(PolicySimulation.settings(3, 0, 2, false, Scope.ALL), 1);
-        simulation.tell(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "b"));
+        simulation.updateEndpoints(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "b"));
         for (int i = 0; i < 60; i++) {
             String id = "c" + i;
             simulation.call(id, "once", 990 * MS);
--- a/balancer/src/test/java/gorsestack/decision/EndpointWatchScheduleTest.java
+++ b/balancer/src/test/java/gorsestack/decision/EndpointWatchScheduleTest.java
@@ -16,7 +16,7 @@
         PolicySimulation simulation = six(PolicySimulation.settings(10, 0, 2, true, Scope.ALL), 1);
         simulation.runTo(simulation.now + 3000 * MS);
         assertEquals(1, simulation.startedWatches);
-        simulation.tell(Kind.FAILED);
+        simulation.updateEndpoints(Kind.FAILED);
         simulation.runTo(simulation.now + 1000 * MS);
         assertEquals(1, simulation.startedWatches);
         simulation.runTo(simulation.now + 8000 * MS);
--- a/balancer/src/test/java/gorsestack/decision/FleetMembershipTest.java
+++ b/balancer/src/test/java/gorsestack/decision/FleetMembershipTest.java
@@ -19,9 +19,9 @@
     void removesUpstreamMissingFromSnapshotButNotFromDelta() {
         PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
         UpstreamState upstream = simulation.policy.upstreams.find("u0");
-        simulation.tell(Kind.DELTA, entry("u1", EndpointState.READY, 0, 0, "a"));
+        simulation.updateEndpoints(Kind.DELTA, entry("u1", EndpointState.READY, 0, 0, "a"));
         assertEquals(EndpointState.READY, upstream.endpoint.state());
-        simulation.tell(Kind.SNAPSHOT, entry("u1", EndpointState.READY, 0, 0, "a"));
+        simulation.updateEndpoints(Kind.SNAPSHOT, entry("u1", EndpointState.READY, 0, 0, "a"));
         assertEquals(EndpointState.GONE, upstream.endpoint.state());
         assertNull(simulation.policy.upstreams.find("u0"));
         assertEquals(1, upstream.locality.members.length);
@@ -52,13 +52,13 @@
         assertTrue(callsToU1.getAsInt() > 10);
         simulation.policy.setMaintenance(simulation.now, "u1", UpstreamTable.NOT_ENDED);
         assertEquals(0, callsToU1.getAsInt());
-        simulation.tell(Kind.DELTA, entry("u1", EndpointState.READY, simulation.now, 0, "a"));
+        simulation.updateEndpoints(Kind.DELTA, entry("u1", EndpointState.READY, simulation.now, 0, "a"));
         assertEquals(0, callsToU1.getAsInt(), "calls after a restart of the upstream");
-        simulation.tell(
+        simulation.updateEndpoints(
                 Kind.SNAPSHOT,
                 entry("u2", EndpointState.READY, 0, 0, "a"),
                 entry("u3", EndpointState.READY, 0, 0, "a"));
-        simulation.tell(
+        simulation.updateEndpoints(
                 Kind.DELTA, entry("u9", EndpointState.READY, 0, 0, "a"), entry("u1", EndpointState.READY, 0, 0, "a"));
         assertEquals(0, callsToU1.getAsInt(), "calls after discovery removed the upstream and listed it again");
         simulation.policy.setMaintenance(simulation.now, "u1", simulation.now);
--- a/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
@@ -72,7 +72,7 @@
     @Test
     void retriesAtOnceWhenNoAttemptIsInFlight() {
         PolicySimulation simulation = new PolicySimulation(PolicySimulation.settings(1, 0, 4, false, Scope.ZONE), 1);
-        simulation.tell(
+        simulation.updateEndpoints(
                 Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"), entry("u1", EndpointState.READY, 0, 1, "b"));
         for (int i = 0; i < 400; i++) {
             simulation.call("w" + i, "once", 1000 * MS);
--- a/balancer/src/test/java/gorsestack/decision/LoadReportsTest.java
+++ b/balancer/src/test/java/gorsestack/decision/LoadReportsTest.java
@@ -17,7 +17,7 @@
     void ignoresMalformedReportsAndThoseOfUnknownUpstreams() {
         PolicySimulation simulation = new PolicySimulation(
                 PolicySimulation.reporting(PolicySimulation.settings(1000, 0, 1, false, Scope.ALL), 0), 1);
-        simulation.tell(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"));
+        simulation.updateEndpoints(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"));
         UpstreamState upstream = simulation.policy.upstreams.find("u0");
         simulation.policy.onLoadReport(simulation.now, "u1", new double[] {30, 3});
         simulation.policy.onLoadReport(simulation.now, "u0", new double[] {30});
@@ -37,7 +37,7 @@
         PolicySimulation simulation = new PolicySimulation(
                 PolicySimulation.reporting(PolicySimulation.settings(1000, 0, 1, false, Scope.ALL), instanceIndex),
                 instanceIndex);
-        simulation.tell(
+        simulation.updateEndpoints(
                 Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"), entry("u1", EndpointState.READY, 0, 0, "a"));
         int sentToU0 = 0;
         for (int i = 0; i < calls; i++) {
@@ -64,7 +64,7 @@
         assertTrue(byReports < 12, byReports + " calls to the slow upstream with its own reports");
         PolicySimulation peer = new PolicySimulation(
                 PolicySimulation.reporting(PolicySimulation.settings(1000, 0, 1, false, Scope.ALL), 7), 7);
-        peer.tell(
+        peer.updateEndpoints(
                 Kind.CACHED,
                 entry("u0", EndpointState.READY, 0, 0, "a"),
                 entry("u1", EndpointState.READY, 0, 0, "a"),
@@ -89,7 +89,7 @@
     void raisesLatencyOfUpstreamThatDoesNotRespond() {
         PolicySimulation simulation = new PolicySimulation(
                 PolicySimulation.reporting(PolicySimulation.settings(1000, 0, 1, false, Scope.ALL), 0), 1);
-        simulation.tell(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"));
+        simulation.updateEndpoints(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"));
         simulation.policy.onLoadReport(simulation.now, "u0", new double[] {30, 3});
         double before = simulation.policy.upstreams.slots().get(0).latencyRatio;
         simulation.runTo(simulation.now + 10 * MS);
@@ -108,7 +108,7 @@
     void acceptsCallsAgainWhenReportsOfOverloadAreOld() {
         PolicySimulation simulation = new PolicySimulation(
                 PolicySimulation.reporting(PolicySimulation.settings(1000, 0, 1, false, Scope.ALL), 0), 1);
-        simulation.tell(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"));
+        simulation.updateEndpoints(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"));
         for (int i = 0; i < 20; i++) {
             simulation.policy.onLoadReport(simulation.now, "u0", new double[] {1, 200});
         }
--- a/balancer/src/test/java/gorsestack/decision/LocalityRouterTest.java
+++ b/balancer/src/test/java/gorsestack/decision/LocalityRouterTest.java
@@ -61,7 +61,7 @@
     void returnsToLocalityAfterAsLongAsItWasUnhealthy() {
         for (int unhealthyTime : new int[] {100, 2000, 9000}) {
             PolicySimulation simulation = new PolicySimulation(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
-            simulation.tell(
+            simulation.updateEndpoints(
                     Kind.CACHED,
                     entry("u0", EndpointState.READY, 0, 0, "a"),
                     entry("u1", EndpointState.READY, 0, 1, "b"));
@@ -75,7 +75,8 @@
                 simulation.end("c" + calls, 0, Outcome.FULFILLED);
                 assertEquals("u1", simulation.calls.get("c" + calls).attempts.get(0).upstream);
             }
-            simulation.tell(Kind.DELTA, entry("u0", EndpointState.READY, simulation.now - 30_000 * MS, 0, "a"));
+            simulation.updateEndpoints(
+                    Kind.DELTA, entry("u0", EndpointState.READY, simulation.now - 30_000 * MS, 0, "a"));
             long recoveredAt = simulation.now;
             while (simulation.now < recoveredAt + 6000 * MS) {
                 simulation.call("c" + ++calls, "once", 1000 * MS);
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -73,7 +73,7 @@
         for (int i = 0; i < 6; i++) {
             entries[i] = entry("u" + i, EndpointState.READY, 0, i / 2, i < 3 ? "a" : "b");
         }
-        simulation.tell(EndpointUpdate.Kind.CACHED, entries);
+        simulation.updateEndpoints(EndpointUpdate.Kind.CACHED, entries);
         return simulation;
     }
 
@@ -148,7 +148,7 @@
     }
 
     /** Sends the policy an update of the endpoint list. */
-    void tell(EndpointUpdate.Kind kind, Endpoint... entries) {
+    void updateEndpoints(EndpointUpdate.Kind kind, Endpoint... entries) {
         if (kind == EndpointUpdate.Kind.SNAPSHOT || kind == EndpointUpdate.Kind.CACHED) {
             endpoints.clear();
         }
--- a/balancer/src/test/java/gorsestack/decision/SlowStartTest.java
+++ b/balancer/src/test/java/gorsestack/decision/SlowStartTest.java
@@ -53,7 +53,8 @@
             for (int ms = 0; ms < 24_000; ms++) {
                 for (PolicySimulation simulation : simulations) {
                     if (ms == restartAtMs) {
-                        simulation.tell(Kind.DELTA, entry("u0", EndpointState.READY, simulation.now, 0, "a"));
+                        simulation.updateEndpoints(
+                                Kind.DELTA, entry("u0", EndpointState.READY, simulation.now, 0, "a"));
                     }
                     simulation.runTo(simulation.now + MS);
                     if (random.nextDouble() < 0.8 * capacity * 6 / balancers / 1000) {
@@ -94,7 +95,7 @@
             PolicySimulation simulation = six(PolicySimulation.settings(100, 1, 1, false, Scope.ALL), b);
             for (int i = 0; i < 60; i++) {
                 if (i == 20) {
-                    simulation.tell(Kind.DELTA, entry("u0", EndpointState.READY, simulation.now, 0, "a"));
+                    simulation.updateEndpoints(Kind.DELTA, entry("u0", EndpointState.READY, simulation.now, 0, "a"));
                 }
                 String id = "c" + i;
                 simulation.call(id, "once", 1000 * MS);
--- a/balancer/src/test/java/gorsestack/decision/UpstreamSelectorTest.java
+++ b/balancer/src/test/java/gorsestack/decision/UpstreamSelectorTest.java
@@ -37,7 +37,7 @@
         for (int i = 0; i < entries.length; i++) {
             entries[i] = new Endpoint("u" + i, EndpointState.READY, 0, 0, 1, i % 2 == 0 ? "slow" : "quick", "a");
         }
-        simulation.tell(Kind.CACHED, entries);
+        simulation.updateEndpoints(Kind.CACHED, entries);
         int toSlow = 0;
         for (int i = 0; i < 160; i++) {
             String id = "c" + i;
@@ -79,7 +79,7 @@
                         0,
                         MS),
                 1);
-        simulation.tell(Kind.CACHED, new Endpoint("u0", EndpointState.READY, 0, 0, 0, "", "a"));
+        simulation.updateEndpoints(Kind.CACHED, new Endpoint("u0", EndpointState.READY, 0, 0, 0, "", "a"));
         assertTimeoutPreemptively(Duration.ofSeconds(5), () -> simulation.call("c", "once", 1000 * MS));
         assertEquals(1, simulation.calls.get("c").attempts.size());
     }
--- a/balancer/src/test/java/gorsestack/decision/UpstreamTableTest.java
+++ b/balancer/src/test/java/gorsestack/decision/UpstreamTableTest.java
@@ -86,7 +86,7 @@
             for (int i = 0; i < 500; i++) {
                 simulation.call("c" + i, List.of("read", "mark", "once").get(i % 3), 1000 * MS);
                 int removed = i;
-                simulation.tell(
+                simulation.updateEndpoints(
                         Kind.DELTA,
                         entry("u" + removed, EndpointState.GONE, 0, removed % 6 / 2, removed % 6 < 3 ? "a" : "b"),
                         entry("u" + (i + 6), EndpointState.READY, 0, i % 6 / 2, i % 6 < 3 ? "a" : "b"));
