--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -41,7 +41,9 @@
                         List.of("read", "mark", "once").get(r.nextInt(3)),
                         bodyArriving ? Long.MAX_VALUE : remainingTime);
                 if (bodyArriving) {
-                    simulation.at(simulation.now + r.nextInt(900) * MS, () -> simulation.whole(id, remainingTime));
+                    simulation.at(
+                            simulation.now + r.nextInt(900) * MS,
+                            () -> simulation.completeRequestBody(id, remainingTime));
                 }
                 if (r.nextInt(30) == 0) {
                     simulation.maintenance("u" + r.nextInt(6), r.nextBoolean());
--- a/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
@@ -118,7 +118,7 @@
         }
         assertTrue(callsToWaitingUpstream > 5, callsToWaitingUpstream + " calls to the upstream that waits for a body");
         assertEquals(null, simulation.calls.get("slow").response);
-        simulation.whole("slow", 1000 * MS);
+        simulation.completeRequestBody("slow", 1000 * MS);
         simulation.runTo(simulation.now + 900 * MS);
         assertEquals(null, simulation.calls.get("slow").response);
         simulation.settle();
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -183,7 +183,7 @@
      * Completes the request body of a call that was made without a remaining time. The body has been forwarded without
      * being kept, so the call must not be repeated.
      */
-    void whole(String id, long remainingTime) {
+    void completeRequestBody(String id, long remainingTime) {
         ApiCall call = calls.get(id);
         if (call.response == null) {
             call.notReplayable = true;
