--- a/balancer/src/test/java/gorsestack/decision/AdaptiveConcurrencyLimitTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdaptiveConcurrencyLimitTest.java
@@ -1,7 +1,7 @@
 package gorsestack.decision;
 
 import static gorsestack.decision.PolicySimulation.MS;
-import static gorsestack.decision.PolicySimulation.heldDuring;
+import static gorsestack.decision.PolicySimulation.pendingCallsDuring;
 import static gorsestack.decision.PolicySimulation.six;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -63,7 +63,8 @@
     @Test
     void limitsBalancerToLessThanOneCallWhenItsQuotaIsSmaller() {
         PolicySimulation simulation = six(PolicySimulation.settings(100, 0, 1, false, Scope.ALL), 1);
-        double inFlight = heldDuring(simulation, 2000, 20 * MS, 300 * MS).getAverage();
+        double inFlight =
+                pendingCallsDuring(simulation, 2000, 20 * MS, 300 * MS).getAverage();
         assertTrue(inFlight > 0.1 && inFlight < 0.8, inFlight + " calls in flight on average");
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
@@ -2,7 +2,7 @@
 
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.entry;
-import static gorsestack.decision.PolicySimulation.heldDuring;
+import static gorsestack.decision.PolicySimulation.pendingCallsDuring;
 import static gorsestack.decision.PolicySimulation.six;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -78,7 +78,7 @@
         for (int u = 3; u < 6; u++) {
             simulation.updateEndpoints(Kind.DELTA, entry("u" + u, EndpointState.READY, simulation.now, u / 2, "b"));
         }
-        int maxInFlight = heldDuring(simulation, 400, 5 * MS, 600 * MS).getMax();
+        int maxInFlight = pendingCallsDuring(simulation, 400, 5 * MS, 600 * MS).getMax();
         assertTrue(maxInFlight > 5 && maxInFlight < 40, maxInFlight + " calls in flight at once");
     }
 
--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -2,7 +2,7 @@
 
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.entry;
-import static gorsestack.decision.PolicySimulation.heldDuring;
+import static gorsestack.decision.PolicySimulation.pendingCallsDuring;
 import static gorsestack.decision.PolicySimulation.six;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -123,18 +123,20 @@
     @Test
     void lowersLimitsByQuotaAndRestoresLearnedStateInSuccessor() {
         PolicySimulation whole = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
-        int maxInFlightOfWhole = heldDuring(whole, 300, 5 * MS, 600 * MS).getMax();
+        int maxInFlightOfWhole =
+                pendingCallsDuring(whole, 300, 5 * MS, 600 * MS).getMax();
         PolicySimulation half = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         half.policy.setQuota(half.now, 0.5);
-        int maxInFlightOfHalf = heldDuring(half, 300, 5 * MS, 600 * MS).getMax();
+        int maxInFlightOfHalf = pendingCallsDuring(half, 300, 5 * MS, 600 * MS).getMax();
         assertTrue(maxInFlightOfHalf < 0.7 * maxInFlightOfWhole, maxInFlightOfHalf + " against " + maxInFlightOfWhole);
         PolicySimulation predecessor = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
-        heldDuring(predecessor, 1_500, 10 * MS, 130 * MS);
+        pendingCallsDuring(predecessor, 1_500, 10 * MS, 130 * MS);
         PolicySimulation successor = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         successor.policy.restoreLearned(successor.now, predecessor.policy.exportLearned());
-        assertTrue(heldDuring(successor, 60, MS, 500 * MS).getMax()
+        assertTrue(pendingCallsDuring(successor, 60, MS, 500 * MS).getMax()
                 > 1.2
-                        * heldDuring(six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1), 60, MS, 500 * MS)
+                        * pendingCallsDuring(
+                                        six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1), 60, MS, 500 * MS)
                                 .getMax());
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -82,7 +82,8 @@
      *
      * @return the number of calls that wait for a response, sampled after each call
      */
-    static IntSummaryStatistics heldDuring(PolicySimulation simulation, int calls, long interval, long latency) {
+    static IntSummaryStatistics pendingCallsDuring(
+            PolicySimulation simulation, int calls, long interval, long latency) {
         IntSummaryStatistics pending = new IntSummaryStatistics();
         for (int i = 0; i < calls; i++) {
             simulation.call("c" + i, "once", 1000 * MS);
