--- a/balancer/src/test/java/gorsestack/decision/AdaptiveConcurrencyLimitTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdaptiveConcurrencyLimitTest.java
@@ -2,7 +2,7 @@
 
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.pendingCallsDuring;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -45,7 +45,7 @@
     /** Guards against a limit that falls to its minimum because a few attempts that hang raise the mean latency of a fast locality. */
     @Test
     void keepsLimitWhenFewAttemptsHang() {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         for (int i = 0; i < 2000; i++) {
             simulation.call("c" + i, "once", 700 * MS);
             if (i % 8 > 0) {
@@ -62,7 +62,7 @@
     /** Guards against overload by a fleet of a hundred balancers, each of which sends at least one call at a time to a few upstreams. */
     @Test
     void limitsBalancerToLessThanOneCallWhenItsQuotaIsSmaller() {
-        PolicySimulation simulation = six(PolicySimulation.settings(100, 0, 1, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(100, 0, 1, false, Scope.ALL), 1);
         double inFlight =
                 pendingCallsDuring(simulation, 2000, 20 * MS, 300 * MS).getAverage();
         assertTrue(inFlight > 0.1 && inFlight < 0.8, inFlight + " calls in flight on average");
--- a/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
@@ -3,7 +3,7 @@
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.entry;
 import static gorsestack.decision.PolicySimulation.pendingCallsDuring;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -52,7 +52,7 @@
     @Test
     void rejectsCallsAtOnceOnFirstTierWhenLocalitiesAreFullAndLate() {
         for (int tier = 0; tier < 2; tier++) {
-            PolicySimulation simulation = six(PolicySimulation.settings(1, tier, 2, false, Scope.ALL), 1);
+            PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, tier, 2, false, Scope.ALL), 1);
             for (int i = 0; i < 400; i++) {
                 simulation.call("c" + i, "read", 1000 * MS);
                 simulation.fulfilLater("c" + i, 350 * MS);
@@ -74,7 +74,7 @@
      */
     @Test
     void keepsWithinLimitWhenAnotherLocalityIsUnusable() {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
         for (int u = 3; u < 6; u++) {
             simulation.updateEndpoints(Kind.DELTA, entry("u" + u, EndpointState.READY, simulation.now, u / 2, "b"));
         }
@@ -86,7 +86,7 @@
     @Test
     void rejectsCallsOfLowValueOrLittleRemainingTimeFirstWhenOverloaded() {
         for (boolean byRemainingTime : List.of(false, true)) {
-            PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+            PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
             for (int i = 0; i < 600; i++) {
                 boolean lowPriority = i % 2 == 0;
                 simulation.call(
@@ -110,7 +110,7 @@
     @Test
     void spreadsAdvisedRetryDelayWhenJitterIsSet() {
         for (double jitter : new double[] {0, 0.5, 1}) {
-            PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+            PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
             simulation.policy.setRetryAfterJitter(jitter);
             for (int i = 0; i < 400; i++) {
                 simulation.call("c" + i, "read", 1000 * MS);
--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -3,7 +3,7 @@
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.entry;
 import static gorsestack.decision.PolicySimulation.pendingCallsDuring;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gorsestack.decision.EndpointUpdate.Kind;
@@ -26,7 +26,7 @@
                     1 + r.nextInt(4),
                     r.nextBoolean(),
                     Scope.values()[r.nextInt(3)]);
-            PolicySimulation simulation = six(
+            PolicySimulation simulation = withSixUpstreams(
                     seed % 2 == 0 ? settings : PolicySimulation.reporting(settings, r.nextInt(settings.instances())),
                     seed);
             int maxLatencyMillis = 20 + r.nextInt(1500);
@@ -122,21 +122,24 @@
     /** Guards against two processes of one balancer that each use its whole budget, and against a successor that has to learn again. */
     @Test
     void lowersLimitsByQuotaAndRestoresLearnedStateInSuccessor() {
-        PolicySimulation whole = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        PolicySimulation whole = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         int maxInFlightOfWhole =
                 pendingCallsDuring(whole, 300, 5 * MS, 600 * MS).getMax();
-        PolicySimulation half = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        PolicySimulation half = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         half.policy.setQuota(half.now, 0.5);
         int maxInFlightOfHalf = pendingCallsDuring(half, 300, 5 * MS, 600 * MS).getMax();
         assertTrue(maxInFlightOfHalf < 0.7 * maxInFlightOfWhole, maxInFlightOfHalf + " against " + maxInFlightOfWhole);
-        PolicySimulation predecessor = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        PolicySimulation predecessor = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         pendingCallsDuring(predecessor, 1_500, 10 * MS, 130 * MS);
-        PolicySimulation successor = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        PolicySimulation successor = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         successor.policy.restoreLearned(successor.now, predecessor.policy.exportLearned());
         assertTrue(pendingCallsDuring(successor, 60, MS, 500 * MS).getMax()
                 > 1.2
                         * pendingCallsDuring(
-                                        six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1), 60, MS, 500 * MS)
+                                        withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1),
+                                        60,
+                                        MS,
+                                        500 * MS)
                                 .getMax());
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/EndpointWatchScheduleTest.java
+++ b/balancer/src/test/java/gorsestack/decision/EndpointWatchScheduleTest.java
@@ -1,7 +1,7 @@
 package gorsestack.decision;
 
 import static gorsestack.decision.PolicySimulation.MS;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import gorsestack.decision.EndpointUpdate.Kind;
@@ -13,7 +13,7 @@
     /** Without a retry a drain would go unnoticed; retries without a delay would overload discovery. */
     @Test
     void retriesFailedWatchAfterDelay() {
-        PolicySimulation simulation = six(PolicySimulation.settings(10, 0, 2, true, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(10, 0, 2, true, Scope.ALL), 1);
         simulation.runTo(simulation.now + 3000 * MS);
         assertEquals(1, simulation.startedWatches);
         simulation.updateEndpoints(Kind.FAILED);
--- a/balancer/src/test/java/gorsestack/decision/FleetMembershipTest.java
+++ b/balancer/src/test/java/gorsestack/decision/FleetMembershipTest.java
@@ -2,7 +2,7 @@
 
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.entry;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,7 +17,7 @@
 class FleetMembershipTest {
     @Test
     void removesUpstreamMissingFromSnapshotButNotFromDelta() {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
         UpstreamState upstream = simulation.policy.upstreams.find("u0");
         simulation.updateEndpoints(Kind.DELTA, entry("u1", EndpointState.READY, 0, 0, "a"));
         assertEquals(EndpointState.READY, upstream.endpoint.state());
@@ -33,7 +33,7 @@
      */
     @Test
     void sendsNothingToUpstreamInMaintenanceWhenDiscoveryListsIt() {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
         int[] callCount = new int[1];
         IntSupplier callsToU1 = () -> {
             int sentToU1 = 0;
--- a/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
@@ -2,7 +2,7 @@
 
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.entry;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -52,7 +52,7 @@
     /** The second attempt starts after the lesser of half the remaining time and 0.6 of the SLO; the first success cancels the other. */
     @Test
     void startsSecondAttemptAfterHedgingDelayAndCancelsSlowerOne() {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 4, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 4, false, Scope.ALL), 1);
         for (int i = 0; i < 40; i++) {
             simulation.call("paid" + i, "read", 1000 * MS);
             simulation.end("paid" + i, 0, Outcome.FULFILLED);
@@ -97,7 +97,7 @@
      */
     @Test
     void givesUnbufferedBodyOneAttemptAndStartsItsTimeoutAtLastByte() {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
         simulation.call("lost", "read", Long.MAX_VALUE);
         simulation.end("lost", 0, Outcome.UNREACHABLE);
         assertEquals(2, simulation.calls.get("lost").attempts.size(), "the body is still buffered");
@@ -140,7 +140,7 @@
                         p.billedValue(),
                         0))
                 .toList();
-        PolicySimulation simulation = six(
+        PolicySimulation simulation = withSixUpstreams(
                 new Settings(
                         0,
                         1,
--- a/balancer/src/test/java/gorsestack/decision/IdleConnectionPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/IdleConnectionPolicyTest.java
@@ -1,7 +1,7 @@
 package gorsestack.decision;
 
 import static gorsestack.decision.PolicySimulation.MS;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gorsestack.decision.Settings.Scope;
@@ -13,7 +13,8 @@
     @Test
     void closesIdleConnectionsOnlyWhenBalancersAreMany() {
         for (int instances : new int[] {2, 1000}) {
-            PolicySimulation simulation = six(PolicySimulation.settings(instances, 0, 1, false, Scope.ALL), 1);
+            PolicySimulation simulation =
+                    withSixUpstreams(PolicySimulation.settings(instances, 0, 1, false, Scope.ALL), 1);
             for (int i = 0; i < 20; i++) {
                 simulation.call("c" + i, "once", 1000 * MS);
                 simulation.fulfilLater("c" + i, 10 * MS);
--- a/balancer/src/test/java/gorsestack/decision/OutlierDetectorTest.java
+++ b/balancer/src/test/java/gorsestack/decision/OutlierDetectorTest.java
@@ -2,7 +2,7 @@
 
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.entry;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -67,7 +67,7 @@
     /** Any upstream may send malformed responses; ejecting upstreams for them would empty the fleet. */
     @Test
     void doesNotEjectUpstreamForMalformedResponses() {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 1, 2, false, Scope.ALL), 3);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 1, 2, false, Scope.ALL), 3);
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 60; i++) {
             simulation.call("c" + i, "once", 1000 * MS);
@@ -89,7 +89,7 @@
      */
     @Test
     void sendsNoExcessCallsToEjectedUpstreams() {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         int toLostZone = 0;
         for (int i = 0; i < 1000; i++) {
             String id = "c" + i;
@@ -113,7 +113,8 @@
     private static int[] probesOfEjected(int balancers, String product, int seconds, boolean hangs) {
         int[] probes = new int[3];
         for (int b = 0; b < balancers; b++) {
-            PolicySimulation simulation = six(PolicySimulation.settings(balancers, 0, 2, false, Scope.ALL), b);
+            PolicySimulation simulation =
+                    withSixUpstreams(PolicySimulation.settings(balancers, 0, 2, false, Scope.ALL), b);
             for (int i = 0; i < 100 * seconds; i++) {
                 simulation.call("fills" + i, "once", 990 * MS);
                 probedUpstream(simulation, "fills" + i, false);
@@ -179,7 +180,7 @@
 
     /** Returns how many of the calls go to u1, whose behaviour is given; the other upstreams respond in 20 ms. */
     private static int callsToU1(int calls, BiConsumer<PolicySimulation, String> behaviour) {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         int sentToU1 = 0;
         for (int i = 0; i < calls; i++) {
             simulation.call("c" + i, "once", 1000 * MS);
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -67,7 +67,7 @@
     }
 
     /** Creates a simulation with six upstreams in two zones. */
-    static PolicySimulation six(Settings settings, long seed) {
+    static PolicySimulation withSixUpstreams(Settings settings, long seed) {
         PolicySimulation simulation = new PolicySimulation(settings, seed);
         Endpoint[] entries = new Endpoint[6];
         for (int i = 0; i < 6; i++) {
--- a/balancer/src/test/java/gorsestack/decision/SlowStartTest.java
+++ b/balancer/src/test/java/gorsestack/decision/SlowStartTest.java
@@ -2,7 +2,7 @@
 
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.entry;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -47,7 +47,8 @@
             List<Long> toCold = new ArrayList<>();
             SplittableRandom random = new SplittableRandom(seed);
             for (int b = 0; b < balancers; b++) {
-                simulations.add(six(PolicySimulation.settings(balancers, 0, 2, false, Scope.ALL), seed * 10 + b));
+                simulations.add(
+                        withSixUpstreams(PolicySimulation.settings(balancers, 0, 2, false, Scope.ALL), seed * 10 + b));
             }
             int restartAtMs = seed % 2 == 0 ? 2000 : 0;
             for (int ms = 0; ms < 24_000; ms++) {
@@ -92,7 +93,7 @@
     void hundredBalancersTogetherUseBudgetOfUpstreamThatIsWarmingUp() {
         int sent = 0;
         for (int b = 0; b < 100; b++) {
-            PolicySimulation simulation = six(PolicySimulation.settings(100, 1, 1, false, Scope.ALL), b);
+            PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(100, 1, 1, false, Scope.ALL), b);
             for (int i = 0; i < 60; i++) {
                 if (i == 20) {
                     simulation.updateEndpoints(Kind.DELTA, entry("u0", EndpointState.READY, simulation.now, 0, "a"));
--- a/balancer/src/test/java/gorsestack/decision/UpstreamSelectorTest.java
+++ b/balancer/src/test/java/gorsestack/decision/UpstreamSelectorTest.java
@@ -1,7 +1,7 @@
 package gorsestack.decision;
 
 import static gorsestack.decision.PolicySimulation.MS;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,7 +15,7 @@
 class UpstreamSelectorTest {
     @Test
     void sendsEqualUpstreamsEqualNumbersOfCalls() {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         int[] calls = new int[3];
         for (int i = 0; i < 300; i++) {
             simulation.call("c" + i, "once", 1000 * MS);
--- a/balancer/src/test/java/gorsestack/decision/UpstreamTableTest.java
+++ b/balancer/src/test/java/gorsestack/decision/UpstreamTableTest.java
@@ -2,7 +2,7 @@
 
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.entry;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -82,7 +82,7 @@
         assertEquals(first, table.findOrAdd("u1"));
         assertEquals(0, first.lastResponseAt);
         for (int seed = 0; seed < 5; seed++) {
-            PolicySimulation simulation = six(PolicySimulation.settings(2, 0, 2, false, Scope.CELL), seed);
+            PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(2, 0, 2, false, Scope.CELL), seed);
             for (int i = 0; i < 500; i++) {
                 simulation.call("c" + i, List.of("read", "mark", "once").get(i % 3), 1000 * MS);
                 int removed = i;
