--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -46,7 +46,7 @@
                             () -> simulation.completeRequestBody(id, remainingTime));
                 }
                 if (r.nextInt(30) == 0) {
-                    simulation.maintenance("u" + r.nextInt(6), r.nextBoolean());
+                    simulation.setMaintenance("u" + r.nextInt(6), r.nextBoolean());
                     simulation.policy.setQuota(simulation.now, r.nextBoolean() ? 1 : 0.5);
                     simulation.policy.restoreLearned(
                             simulation.now,
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -174,7 +174,7 @@
     }
 
     /** Takes an upstream out of service or returns it, unless it is in that state already. */
-    void maintenance(String id, boolean begins) {
+    void setMaintenance(String id, boolean begins) {
         if (begins ? inMaintenance.add(id) : inMaintenance.remove(id)) {
             policy.setMaintenance(now, id, begins ? UpstreamTable.NOT_ENDED : now);
         }
