--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -41,7 +41,7 @@
                         List.of("read", "mark", "once").get(r.nextInt(3)),
                         bodyArriving ? Long.MAX_VALUE : remainingTime);
                 if (bodyArriving) {
-                    simulation.at(
+                    simulation.schedule(
                             simulation.now + r.nextInt(900) * MS,
                             () -> simulation.completeRequestBody(id, remainingTime));
                 }
@@ -59,7 +59,7 @@
                     int attempt = k;
                     Outcome outcome =
                             r.nextDouble() > failureFraction ? Outcome.FULFILLED : Outcome.values()[r.nextInt(10)];
-                    simulation.at(simulation.now + r.nextInt(maxLatencyMillis) * MS, () -> {
+                    simulation.schedule(simulation.now + r.nextInt(maxLatencyMillis) * MS, () -> {
                         if (simulation.calls.get(id).attempts.size() > attempt) {
                             simulation.end(id, attempt, outcome);
                         }
--- a/balancer/src/test/java/gorsestack/decision/OutlierDetectorTest.java
+++ b/balancer/src/test/java/gorsestack/decision/OutlierDetectorTest.java
@@ -209,7 +209,7 @@
         int[] attemptCount = {0};
         int failing = callsToU1(
                 600,
-                (simulation, id) -> simulation.at(
+                (simulation, id) -> simulation.schedule(
                         simulation.now + 5 * MS,
                         () -> simulation.end(id, 0, attemptCount[0]++ % 2 == 0 ? Outcome.ERROR : Outcome.FULFILLED)));
         assertTrue(failing > 10 && failing < 110, failing + " calls to the failing upstream");
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -197,7 +197,7 @@
     }
 
     /** Schedules an action. */
-    void at(long time, Runnable action) {
+    void schedule(long time, Runnable action) {
         scheduledActions.add(new ScheduledAction(time, nextSequence++, action));
     }
 
@@ -229,7 +229,7 @@
 
     /** Schedules the success of the call's first attempt, unless the call has its response by then. */
     void fulfilLater(String id, long delay) {
-        at(now + delay, () -> {
+        schedule(now + delay, () -> {
             if (calls.get(id).response == null) {
                 end(id, 0, Outcome.FULFILLED);
             }
@@ -286,14 +286,14 @@
         call.attempts.add(attempt);
         int number = call.attempts.size() - 1;
         if (call.deadline < Long.MAX_VALUE) {
-            at(now + timeout, () -> end(id, number, Outcome.TIMED_OUT));
+            schedule(now + timeout, () -> end(id, number, Outcome.TIMED_OUT));
         }
     }
 
     @Override
     public void cancelAttempt(String id, int attempt) {
         calls.get(id).attempts.get(attempt).cancelled = true;
-        at(now, () -> end(id, attempt, Outcome.CANCELLED));
+        schedule(now, () -> end(id, attempt, Outcome.CANCELLED));
     }
 
     private void respond(String id, String response) {
@@ -341,7 +341,7 @@
 
     @Override
     public void scheduleTimer(long token, long time) {
-        at(Math.max(time, now + settings.clockResolution()), () -> policy.onTimer(now, token));
+        schedule(Math.max(time, now + settings.clockResolution()), () -> policy.onTimer(now, token));
     }
 
     @Override
--- a/balancer/src/test/java/gorsestack/decision/SlowStartTest.java
+++ b/balancer/src/test/java/gorsestack/decision/SlowStartTest.java
@@ -66,7 +66,8 @@
                             if (call.attempts.get(0).upstream.equals("u0") && ms >= restartAtMs) {
                                 toCold.add((long) ms - restartAtMs);
                             }
-                            simulation.at(simulation.now + 30 * MS, () -> simulation.end(id, 0, Outcome.FULFILLED));
+                            simulation.schedule(
+                                    simulation.now + 30 * MS, () -> simulation.end(id, 0, Outcome.FULFILLED));
                         }
                     }
                 }
