--- a/balancer/src/main/java/gorsestack/decision/Settings.java
+++ b/balancer/src/main/java/gorsestack/decision/Settings.java
@@ -66,7 +66,7 @@
     }
 
     /** Returns these settings with repeat windows shortened by the longest time from the decision on an attempt to its last byte. */
-    public Settings repeatsWithin(long margin) {
+    public Settings withShorterRepeatWindows(long margin) {
         List<Product> all = products.stream()
                 .map(p -> new Product(
                         p.name(),
--- a/balancer/src/main/java/gorsestack/proxy/CallDispatcher.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallDispatcher.java
@@ -82,7 +82,7 @@
         this.discovery = new DiscoveryWatch(network, eventLoop, limits, discovery, index, this);
         this.products = new ProductTable(settings.products());
         this.policy = new BalancingPolicy(
-                settings.repeatsWithin(limits.call().responseMarginNanos()), seed, clock.tick(), this);
+                settings.withShorterRepeatWindows(limits.call().responseMarginNanos()), seed, clock.tick(), this);
         this.startTimes = new StartTimes(settings.rules().slowStartTime());
         this.recovery = new RecoveryCoordinator(eventLoop, limits, policy, this.discovery, this::watchEvent);
         AttemptAuditor auditor =
