--- a/balancer/src/main/java/gorsestack/proxy/ActiveCall.java
+++ b/balancer/src/main/java/gorsestack/proxy/ActiveCall.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * One API call from its request until its response is given and its last attempt has finished. Owned by the event loop's thread; the
- * sockets' thread reads {@link #hasEnded()} through {@link SendGate}.
+ * One API call, from its request until its response has been sent and its last attempt has finished. {@link CallTable} holds the calls of
+ * the dispatcher. Owned by the event loop's thread; the sockets' thread reads {@link #hasEnded()} through {@link SendGate}.
  */
 final class ActiveCall {
     final String id;
@@ -28,14 +28,14 @@
         this.request = request;
     }
 
-    /** Sets the timer that responds if nothing else has by the call's deadline. */
+    /** Sets the action that cancels the timer which responds if nothing else has by the call's deadline. */
     void deadlineBackstop(Runnable cancel) {
         cancelDeadlineBackstop = cancel;
     }
 
-    /** The call has its final response. */
+    /** Ends the call, as it has its final response, and cancels the timer of its deadline. */
     void end(EventLoop clock) {
-        // The time is read after the flag is set: a request written at a later time was checked against the flag.
+        // The time is read after the flag is set, so that every request written later was checked against the flag.
         ended = true;
         endedAt = clock.now();
         if (cancelDeadlineBackstop != null) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** The client disconnected before its response. */
+    /** Ends the call, as its client disconnected before the response. */
     void endDisconnected(EventLoop clock) {
         clientDisconnected = true;
         end(clock);
@@ -53,7 +53,7 @@
         return ended;
     }
 
-    /** When the call ended; Long.MAX_VALUE before that. */
+    /** Returns when the call ended; Long.MAX_VALUE while it is open. */
     long endedAt() {
         return endedAt;
     }
@@ -71,7 +71,7 @@
         attemptsInFlight--;
     }
 
-    /** Whether nothing can happen to this call any more. */
+    /** Returns whether the call has ended and none of its attempts is in flight. */
     boolean isFinished() {
         return ended && attemptsInFlight == 0;
     }
--- a/balancer/src/main/java/gorsestack/proxy/AttemptAuditor.java
+++ b/balancer/src/main/java/gorsestack/proxy/AttemptAuditor.java
@@ -5,7 +5,10 @@
 import gorsestack.invariant.Rule;
 import gorsestack.invariant.SendAudit;
 
-/** Checks attempts and rate-limit responses against the rules after the event. Owned by the event loop's thread. */
+/**
+ * Checks requests that were written and rate-limit responses that were decided on against the invariants, and counts violations. Used by
+ * {@link AttemptRunner} and {@link CallResponder}. Owned by the event loop's thread.
+ */
 final class AttemptAuditor {
     private final Invariants invariants;
     private final ProductTable products;
@@ -19,7 +22,7 @@
         this.drainGrace = drainGrace;
     }
 
-    /** Audits an attempt whose request was written, its first byte at that time. */
+    /** Audits an attempt whose request was written, with its first byte at {@code firstByteAt}. */
     void checkSent(UpstreamAttempt attempt, long firstByteAt) {
         ActiveCall call = attempt.call;
         String violation = SendAudit.sendViolation(
--- a/balancer/src/main/java/gorsestack/proxy/AttemptRunner.java
+++ b/balancer/src/main/java/gorsestack/proxy/AttemptRunner.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 
 /**
- * Starts, times out and cancels attempts as the balancing policy orders, and reports their outcomes to it. Owned by the event loop's
- * thread.
+ * Starts and cancels attempts as the balancing policy orders, and reports their outcomes to it. Used by {@link CallDispatcher}. Owned by
+ * the event loop's thread.
  */
 final class AttemptRunner implements UpstreamAttempt.Listener {
     private final EventLoop eventLoop;
@@ -26,17 +26,17 @@
     private final UpstreamConnectionPool pool;
     private final ProductTable products;
     private final CallTable calls;
-    private final ClientRequestHandler intake;
+    private final ClientRequestHandler requestHandler;
     private final Invariants invariants;
     private final AttemptAuditor auditor;
     private final CallTrace trace;
     private final LoadReport loadReports;
-    /** The attempts that were handed to a connection and are not finished. */
+    /** The attempts that were given to a connection and are not finished. */
     private final Set<UpstreamAttempt> inFlight = new LinkedHashSet<>();
 
     private int attemptsNotSent;
 
-    // Twelve parameters: each is a collaborator with a type of its own, and there is one caller.
+    // Each of the twelve parameters is a collaborator with a type of its own, and there is one caller.
     AttemptRunner(
             EventLoop eventLoop,
             Limits limits,
@@ -45,7 +45,7 @@
             UpstreamConnectionPool pool,
             ProductTable products,
             CallTable calls,
-            ClientRequestHandler intake,
+            ClientRequestHandler requestHandler,
             Invariants invariants,
             AttemptAuditor auditor,
             CallTrace trace,
@@ -57,14 +57,14 @@
         this.pool = pool;
         this.products = products;
         this.calls = calls;
-        this.intake = intake;
+        this.requestHandler = requestHandler;
         this.invariants = invariants;
         this.auditor = auditor;
         this.trace = trace;
         this.loadReports = loadReports;
     }
 
-    /** Starts the call's next attempt, to time out after that many nanoseconds. */
+    /** Starts the call's next attempt, which times out after {@code timeout} nanoseconds. */
     void start(ActiveCall call, String upstream, long timeout) {
         long now = clock.inputTime();
         Settings.Repeat repeat = products.repeat(call.request.product());
@@ -74,8 +74,8 @@
         call.attemptStarted(attempt);
         if (!call.client.mayBeConnected()) {
             invariants.rejected(RejectionReason.CLIENT_LEFT);
-            // Prevents attempts for a client whose disconnect still waits in the event loop's queue.
-            eventLoop.execute(() -> intake.clientDisconnected(call.client));
+            // Prevents attempts for a client whose disconnect is still queued in the event loop.
+            eventLoop.execute(() -> requestHandler.clientDisconnected(call.client));
             eventLoop.execute(() -> attempt.ended(Outcome.NOT_SENT, null));
             return;
         }
@@ -111,8 +111,8 @@
     }
 
     /**
-     * When a retry has to be sent at the latest, for the upstream to recognise it as a duplicate. Counts from the decision on the first
-     * attempt that may have executed, which is before its execution.
+     * Returns the latest time at which a retry may be sent so that the upstream recognises it as a duplicate. The window counts from the
+     * decision on the first attempt that may have executed, which is before its execution.
      */
     private long retryWindowEnd(ActiveCall call) {
         return call.attempts.stream()
@@ -124,24 +124,24 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** The call's large request body is complete: the time of its attempts counts from now on. */
+    /** Restarts the timeouts of the call's attempts, as its large request body is complete. */
     void restartTimeouts(ActiveCall call, long deadline) {
         for (UpstreamAttempt attempt : call.attempts) {
             attempt.restartTimeout(clock.inputTime(), deadline);
         }
     }
 
-    /** Cancels the attempt of that number. */
+    /** Cancels the attempt with this number. */
     void cancel(ActiveCall call, int number) {
         UpstreamAttempt attempt = call.attempts.get(number);
-        // Rule 1: closed at once, as a connection that is established in between would still send its request. The
-        // policy learns of it once it has finished the current input.
+        // Rule 1: the connection is closed at once, as one that is established in between would still send its request.
+        // The policy is notified once it has finished the current input.
         attempt.closeConnection();
         eventLoop.execute(() ->
                 attempt.ended(eventLoop.now() >= attempt.deadline() ? Outcome.TIMED_OUT : Outcome.CANCELLED, null));
     }
 
-    /** Prevents an attempt whose request still waits to be written from starting work for a client that has disconnected. */
+    /** Ends the attempts whose requests are not written yet. Without this, they would start work for a client that has disconnected. */
     void withdrawUnsent(ActiveCall call) {
         for (UpstreamAttempt attempt : List.copyOf(call.attempts)) {
             if (attempt.waitsToBeWritten()) {
@@ -186,8 +186,8 @@
     }
 
     /**
-     * Closes idle connections to upstreams from which nothing arrives. A host that is cut off leaves its idle connections open, and each
-     * would swallow a call; a new one fails within the connect timeout, which proves that nothing was executed.
+     * Closes idle connections to upstreams from which nothing arrives. The idle connections to a host that is cut off stay open, and each
+     * would lose a call; a new connection fails within the connect timeout, which proves that nothing was executed.
      */
     void closeIdleToSilentUpstreams() {
         long now = eventLoop.now();
@@ -200,8 +200,8 @@
         }
     }
 
-    /** The attempts that found no connection since the last call of this method. */
-    int takeNotSent() {
+    /** Returns the number of attempts for which no connection was available, and resets it. */
+    int getAndResetNotSentCount() {
         int count = attemptsNotSent;
         attemptsNotSent = 0;
         return count;
--- a/balancer/src/main/java/gorsestack/proxy/BalancerStatus.java
+++ b/balancer/src/main/java/gorsestack/proxy/BalancerStatus.java
@@ -6,7 +6,8 @@
 import java.util.List;
 
 /**
- * Builds the status document that operators read. Its keys and their order are an external format. Owned by the event loop's thread.
+ * Builds the status document that operators read. Its keys and their order are an external format. Used by {@link CallDispatcher}. Owned
+ * by the event loop's thread.
  */
 final class BalancerStatus {
     private final CallTable calls;
@@ -23,12 +24,12 @@
         this.recovery = recovery;
     }
 
-    /** The signals that the process that started this one has set to be ignored. */
+    /** Sets the names of the signals that this process inherited as ignored from the process that started it. */
     void ignoredSignals(List<String> names) {
         ignoredSignals = names;
     }
 
-    /** A new status document. */
+    /** Returns a new status document. */
     ObjectNode document(boolean ready) {
         ObjectNode status = new ObjectMapper().createObjectNode();
         status.put("ready", ready);
--- a/balancer/src/main/java/gorsestack/proxy/CallDeadlines.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallDeadlines.java
@@ -7,11 +7,11 @@
 import gorsestack.wire.EventLoop;
 
 /**
- * Ends each call at its deadline at the latest (rule 1: a call that was accepted has a response in time, whatever fault keeps the policy
- * from it). Owned by the event loop's thread.
+ * Ends each call at its deadline at the latest. A call that was accepted gets a response in time even if a fault keeps the policy from
+ * responding (rule 1). Used by {@link CallDispatcher}. Owned by the event loop's thread.
  */
 final class CallDeadlines {
-    /** The margin in which a response is written is at most the client's timeout divided by this. */
+    /** The divisor of the client's timeout that gives the largest margin for writing a response. */
     private static final int RESPONSE_MARGIN_DIVISOR = 10;
 
     private final EventLoop eventLoop;
@@ -21,8 +21,8 @@
     private final BalancingPolicy policy;
     private final CallResponder responder;
     private final Invariants invariants;
-    /** Every call has its response by then; set when the process is ordered to end. */
-    private long lastResponseAt = Long.MAX_VALUE;
+    /** The time by which every call must have its response; Long.MAX_VALUE until shutdown begins. */
+    private long latestResponseAt = Long.MAX_VALUE;
 
     CallDeadlines(
             EventLoop eventLoop,
@@ -41,31 +41,34 @@
         this.invariants = invariants;
     }
 
-    /** Schedules the backstop of the call's deadline and returns for how long the policy may work on the call. */
+    /** Schedules the timer of the call's deadline and returns for how many nanoseconds the policy may work on the call. */
     long start(ActiveCall call, long arrivedAt) {
         long timeout = products.clientTimeout(call.request);
-        long deadline = Math.min(arrivedAt + timeout, lastResponseAt);
+        long deadline = Math.min(arrivedAt + timeout, latestResponseAt);
         call.deadlineBackstop(
                 eventLoop.at(deadline - limits.call().deadlineBackstopNanos(), () -> respondAtDeadline(call)));
-        // Rule 1: on a shared core a response may wait before it is written; seen at a start.
+        // On a shared core a response may be delayed before it is written, as was seen at a start (rule 1).
         long responseMargin = Math.min(limits.call().responseMarginNanos(), timeout / RESPONSE_MARGIN_DIVISOR);
         return Math.max(0, deadline - responseMargin - clock.tick());
     }
 
-    /** No call that is accepted from now on may take longer than until then. */
-    void limit(long lastResponse) {
-        lastResponseAt = lastResponse;
+    /** Limits the deadlines of the calls that are accepted from now on to {@code newLatestResponseAt}. */
+    void limit(long newLatestResponseAt) {
+        latestResponseAt = newLatestResponseAt;
     }
 
-    /** Ends a call that was accepted before the limit was set; the process would otherwise end with it open. */
+    /** Applies the limit to a call that was accepted before it was set. Without this, the process would end with the call open. */
     void applyLimit(ActiveCall call) {
-        eventLoop.at(lastResponseAt - limits.call().deadlineBackstopNanos(), () -> abort(call));
+        eventLoop.at(latestResponseAt - limits.call().deadlineBackstopNanos(), () -> abort(call));
     }
 
     private void respondAtDeadline(ActiveCall call) {
         if (!call.hasEnded()) {
             // The lab's checks search the logs for "left unanswered".
-            CallTrace.LOG.log(System.Logger.Level.ERROR, "call {0} was left unanswered; answered 504", call.id);
+            CallTrace.LOG.log(
+                    System.Logger.Level.ERROR,
+                    "call {0} was left unanswered until its deadline; responded with 504",
+                    call.id);
             invariants.rejected(RejectionReason.LEFT_UNANSWERED);
             abort(call);
         }
--- a/balancer/src/main/java/gorsestack/proxy/CallDispatcher.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallDispatcher.java
@@ -28,9 +28,9 @@
 import java.util.Random;
 
 /**
- * Connects clients' calls, discovery and operators with the balancing policy: passes every input to the policy and carries out what it
- * orders. Makes no balancing decisions. Owned by the event loop's thread: every method is called there, and so are those of its parts; the
- * sockets' thread reads nothing but {@link SendGate}.
+ * Connects clients' calls, discovery and operators with the balancing policy: passes every input to the policy and carries out its
+ * actions. Makes no balancing decisions. Used by the server. Owned by the event loop's thread, which calls every method of this class and
+ * of its collaborators; the sockets' thread reads nothing but {@link SendGate}.
  */
 public final class CallDispatcher
         implements PolicyActions, ClientRequestHandler, DiscoveryWatch.Listener, AdminServer.Balancer {
@@ -62,7 +62,7 @@
     private boolean ready;
     private boolean shuttingDown;
 
-    /** Follows {@code discovery} from list version {@code index} on; accepts no calls yet. To be made on the event loop's thread. */
+    /** Follows {@code discovery} from list version {@code index} on; accepts no calls yet. Called on the event loop's thread. */
     public CallDispatcher(
             EventLoop eventLoop,
             Limits limits,
@@ -96,8 +96,8 @@
         this.status = new BalancerStatus(calls, clients, invariants, recovery);
         eventLoop.at(eventLoop.now() + limits.call().sweepIntervalNanos(), this::sweep);
         if (!settings.watchesEndpoints()) {
-            // Lists are pushed by an agent of this balancer's own: they are complete from this process's first moment
-            // on, and what an earlier process knew may be outdated.
+            // An agent of this balancer pushes the lists. They are complete from the start of this process, while the
+            // list of an earlier process may be outdated.
             eventLoop.execute(this::watchEndpoints);
         }
     }
@@ -105,41 +105,41 @@
     // Calls from clients.
 
     @Override
-    public void call(ClientConnection from, Request request, long arrivedAt) {
+    public void call(ClientConnection client, Request request, long arrivedAt) {
         if (clients.full()) {
-            // Prevents running out of descriptors: the call is rejected and its connection released.
+            // Prevents running out of descriptors: the call is rejected and its connection is closed.
             callsRejected++;
             invariants.rejected(RejectionReason.NO_ROOM);
-            from.respond(Response.own(503, "", "too many connections"));
+            client.respond(Response.own(503, "", "too many connections"));
             return;
         }
         if (calls.isOpen(request.id())) {
-            // Prevents two calls of one id: an upstream would take the second for a duplicate of the first.
+            // Prevents two open calls with one id: an upstream would take the second for a duplicate of the first.
             invariants.rejected(RejectionReason.SAME_ID);
-            from.reject(new MalformedMessageException(409, "this X-Correlation-Id is that of an open call"));
+            client.reject(new MalformedMessageException(409, "this X-Correlation-Id is that of an open call"));
             return;
         }
-        ActiveCall call = calls.add(from, request);
-        // The time of a call whose large body is incomplete does not count yet.
+        ActiveCall call = calls.add(client, request);
+        // While the large body of a call is incomplete, its deadline is not set.
         long remaining = request.upload() != null ? Long.MAX_VALUE : deadlines.start(call, arrivedAt);
         recovery.onCall(clock.inputTime(), request.again());
         trace.log(
                 "call={0} event=received product={1} remaining_ms={2} connection={3}",
-                call.id, request.product(), remaining / 1_000_000, from.number());
+                call.id, request.product(), remaining / 1_000_000, client.number());
         policy.onApiCall(clock.tick(), call.id, request.product(), null, remaining);
     }
 
     @Override
-    public void requestNotReplayable(ClientConnection from) {
-        ActiveCall call = calls.byClient(from);
+    public void requestNotReplayable(ClientConnection client) {
+        ActiveCall call = calls.byClient(client);
         if (call != null) {
             policy.onRequestBody(clock.tick(), call.id, -1);
         }
     }
 
     @Override
-    public void requestBodyComplete(ClientConnection from, long arrivedAt) {
-        ActiveCall call = calls.byClient(from);
+    public void requestBodyComplete(ClientConnection client, long arrivedAt) {
+        ActiveCall call = calls.byClient(client);
         if (call != null) {
             long remaining = deadlines.start(call, arrivedAt);
             long now = clock.inputTime();
@@ -154,11 +154,11 @@
     }
 
     @Override
-    public void clientDisconnected(ClientConnection from) {
-        ActiveCall call = calls.removeClient(from);
+    public void clientDisconnected(ClientConnection client) {
+        ActiveCall call = calls.removeClient(client);
         if (call != null && !call.hasEnded()) {
             call.endDisconnected(eventLoop);
-            trace.log("call={0} event=client_disconnected connection={1}", call.id, from.number());
+            trace.log("call={0} event=client_disconnected connection={1}", call.id, client.number());
             policy.onClientDisconnected(clock.tick(), call.id);
             attempts.withdrawUnsent(call);
             calls.removeIfFinished(call);
@@ -197,9 +197,9 @@
         }
     }
 
-    /** Discovery's address has changed. */
-    public void moveToDiscovery(InetSocketAddress to) {
-        discovery.moveTo(to);
+    /** Switches to a new address of discovery. */
+    public void moveToDiscovery(InetSocketAddress newAddress) {
+        discovery.moveTo(newAddress);
     }
 
     // Actions of the policy.
@@ -230,8 +230,8 @@
     }
 
     @Override
-    public void scheduleTimer(long token, long at) {
-        eventLoop.at(at, () -> policy.onTimer(clock.tick(), token));
+    public void scheduleTimer(long token, long dueAt) {
+        eventLoop.at(dueAt, () -> policy.onTimer(clock.tick(), token));
     }
 
     @Override
@@ -251,25 +251,25 @@
         recovery.watch();
     }
 
-    // Connections of clients, and the process's end.
+    // Connections of clients, and shutdown.
 
     @Override
-    public void opened(ClientConnection from) {
-        clients.opened(from);
+    public void opened(ClientConnection client) {
+        clients.opened(client);
     }
 
     @Override
-    public void closed(ClientConnection from) {
-        clients.closed(from);
+    public void closed(ClientConnection client) {
+        clients.closed(client);
     }
 
     @Override
-    public void ended(ClientConnection from, CloseReason reason, boolean responseIncomplete) {
+    public void ended(ClientConnection client, CloseReason reason, boolean responseIncomplete) {
         invariants.closed(reason);
         trace.log(
                 "event=connection_closed connection={0} reason={1} response_incomplete={2}",
-                from.number(), reason, responseIncomplete);
-        // No violation where the client disconnected, or reads nothing of its response.
+                client.number(), reason, responseIncomplete);
+        // It is no violation if the client disconnected or does not read its response.
         if (responseIncomplete && reason != CloseReason.CLIENT_GONE && reason != CloseReason.STALLED) {
             invariants.violated(Rule.CLOSE, "", reason.name().toLowerCase(Locale.ROOT));
         }
@@ -295,15 +295,15 @@
         return random.nextDouble();
     }
 
-    /** From now on /_health reports that calls are accepted. */
+    /** Reports from now on, at /_health and to operators, that calls are accepted. */
     public void acceptCalls() {
         ready = true;
         recovery.onReady();
     }
 
     /**
-     * SIGTERM: no new connections are wanted. Connections are served until their clients disconnect, calls until {@code callDeadline}.
-     * If another process of this balancer accepts clients by then, they leave for it with their next response.
+     * Begins the shutdown after SIGTERM. Connections are served until their clients disconnect, calls until {@code callDeadline}. If
+     * another process of this balancer already accepts clients, each connection is closed with its next response.
      */
     public void shutDown(long callDeadline, boolean hasSuccessor) {
         shuttingDown = true;
@@ -312,16 +312,16 @@
         }
         deadlines.limit(callDeadline);
         calls.forEachOpen(deadlines::applyLimit);
-        // Tests of the process search its log for these words.
+        // Tests of the process search its log for this message.
         LOG.log(System.Logger.Level.INFO, "ending; {0} calls held", calls.awaitingResponse());
     }
 
-    /** The clients' connections, and how they end. */
+    /** Returns the manager of the clients' connections. */
     public ClientConnectionManager clients() {
         return clients;
     }
 
-    /** The recovery of this balancer after a restart. */
+    /** Returns the coordinator of this balancer's recovery after a restart. */
     public RecoveryCoordinator recovery() {
         return recovery;
     }
@@ -343,7 +343,7 @@
         clients.evacuate(evacuate);
     }
 
-    /** Another process of this balancer runs, or no longer; {@code otherAccepts} while both accept clients. */
+    /** Shares the resources while another process of this balancer runs; {@code otherAccepts} while both accept clients. */
     public void shareWithAnotherProcess(boolean otherRuns, boolean otherAccepts) {
         maintenance.shareWithAnotherProcess(otherRuns, otherAccepts, shuttingDown);
     }
@@ -353,13 +353,13 @@
         return recovery.phase();
     }
 
-    /** Switches the trace of each step of each call on or off. */
+    /** Enables or disables the trace of each step of each call. */
     @Override
-    public void trace(boolean on) {
-        trace.enable(on);
+    public void trace(boolean enabled) {
+        trace.enable(enabled);
     }
 
-    /** The signals that whoever started this process ignores; to be set before the status is read. */
+    /** Sets the names of the signals that this process inherited as ignored; called before the status is read. */
     public void ignoredSignals(List<String> names) {
         status.ignoredSignals(names);
     }
@@ -369,7 +369,7 @@
         return status.document(ready());
     }
 
-    /** The policy's learned state, for a process that takes over. */
+    /** Returns the policy's learned state for a process that takes over. */
     public List<LearnedLocality> exportLearned() {
         return policy.exportLearned();
     }
@@ -379,12 +379,12 @@
         policy.restoreLearned(clock.tick(), learned);
     }
 
-    /** Periodic upkeep. The next run is scheduled first, as a fault in one run would otherwise end them all. */
+    /** Runs the periodic maintenance. The next run is scheduled first, as a fault in one run would otherwise prevent all later ones. */
     private void sweep() {
         eventLoop.at(eventLoop.now() + limits.call().sweepIntervalNanos(), this::sweep);
         pool.closeExpired();
         clients.sweep();
-        int attemptsNotSent = attempts.takeNotSent();
+        int attemptsNotSent = attempts.getAndResetNotSentCount();
         if (attemptsNotSent + callsRejected > 0) {
             LOG.log(
                     System.Logger.Level.WARNING,
--- a/balancer/src/main/java/gorsestack/proxy/CallResponder.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallResponder.java
@@ -5,7 +5,7 @@
 import gorsestack.wire.EventLoop;
 import gorsestack.wire.Response;
 
-/** Gives each call its one final response. Owned by the event loop's thread. */
+/** Sends each call its one final response. Used by {@link CallDispatcher} and {@link CallDeadlines}. Owned by the event loop's thread. */
 final class CallResponder {
     private final EventLoop eventLoop;
     private final InputClock clock;
@@ -32,12 +32,12 @@
         this.trace = trace;
     }
 
-    /** Passes on the response of a fulfilled attempt. */
+    /** Responds with the upstream's response to a fulfilled attempt. */
     void fulfilled(ActiveCall call, int attempt) {
         respond(call, call.attempts.get(attempt).response());
     }
 
-    /** Rejects the call with the promise that a retry is harmless; a {@code retryAfter} of 0 advises nothing. */
+    /** Rejects the call with the promise that a retry is harmless; a {@code retryAfter} of 0 omits the Retry-After header. */
     void rateLimited(ActiveCall call, long retryAfter) {
         auditor.checkRateLimited(call);
         long retryAfterMillis = retryAfter / 1_000_000;
@@ -51,7 +51,7 @@
         respond(call, timedOut ? timeout() : Response.own(502, "", "no upstream answered"));
     }
 
-    /** Fails the call because its time is over. */
+    /** Fails the call because its deadline has passed. */
     void timedOut(ActiveCall call) {
         respond(call, timeout());
     }
--- a/balancer/src/main/java/gorsestack/proxy/CallTable.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallTable.java
@@ -7,20 +7,20 @@
 import java.util.function.Consumer;
 
 /**
- * The calls that are not finished, by id, and those without a response also by their client's connection. Owned by the event loop's
- * thread.
+ * Holds the calls that are not finished, by id, and those that await their response also by their client's connection. Used by
+ * {@link CallDispatcher} and its collaborators. Owned by the event loop's thread.
  */
 final class CallTable {
     private final Map<String, ActiveCall> byId = new HashMap<>();
     private final Map<ClientConnection, ActiveCall> awaitingResponse = new HashMap<>();
 
-    /** Whether a call with the request's id still awaits its response. */
+    /** Returns whether a call with this request id awaits its response. */
     boolean isOpen(String requestId) {
         ActiveCall call = byId.get(requestId);
         return call != null && !call.hasEnded();
     }
 
-    /** Adds a call. If an earlier call of the same id still has attempts in flight, this one gets an id of its own. */
+    /** Adds a call. If an earlier call with the same id still has attempts in flight, a suffix makes the new id unique. */
     ActiveCall add(ClientConnection client, Request request) {
         String id = request.id();
         for (int suffix = 2; byId.containsKey(id); suffix++) {
@@ -32,22 +32,22 @@
         return call;
     }
 
-    /** The call of that id, null if it is finished. */
+    /** Returns the call with this id, or null if it is finished. */
     ActiveCall byId(String id) {
         return byId.get(id);
     }
 
-    /** The call of that client, null if none awaits a response. */
+    /** Returns the client's call that awaits a response, or null if there is none. */
     ActiveCall byClient(ClientConnection client) {
         return awaitingResponse.get(client);
     }
 
-    /** Returns and removes the call of that client, null if none awaits a response; it stays known by its id. */
+    /** Removes the client's call that awaits a response from the table by client and returns it, or null; the table by id keeps it. */
     ActiveCall removeClient(ClientConnection client) {
         return awaitingResponse.remove(client);
     }
 
-    /** Removes a call that is finished. */
+    /** Removes the call if it is finished. */
     void removeIfFinished(ActiveCall call) {
         if (call.isFinished()) {
             byId.remove(call.id, call);
@@ -58,7 +58,7 @@
         return awaitingResponse.size();
     }
 
-    /** Visits all calls without a response, in the order of the table by id. */
+    /** Passes all calls that await a response to {@code action}, in the order of the table by id. */
     void forEachOpen(Consumer<ActiveCall> action) {
         byId.values().stream().filter(call -> !call.hasEnded()).forEach(action);
     }
--- a/balancer/src/main/java/gorsestack/proxy/CallTrace.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallTrace.java
@@ -1,20 +1,20 @@
 package gorsestack.proxy;
 
 /**
- * Logs each step of each call, if enabled: at DEBUG from the logging configuration, at INFO once an operator switches it on. Owned by the
- * event loop's thread.
+ * Logs each step of each call if it is enabled: at DEBUG by the logging configuration, at INFO once an operator has enabled it. Used by
+ * {@link CallDispatcher} and its collaborators. Owned by the event loop's thread.
  */
 final class CallTrace {
     static final System.Logger LOG = System.getLogger("gorsestack.calls");
 
-    /** A field, because asking the logger for each step would be too slow for the hot path. */
+    /** Whether steps are logged. Cached in a field, as a query of the logger for each step would be too slow for the hot path. */
     private boolean enabled = LOG.isLoggable(System.Logger.Level.DEBUG);
 
     private System.Logger.Level level = System.Logger.Level.DEBUG;
 
-    /** Switches the trace on or off, by an operator's order. */
-    void enable(boolean on) {
-        enabled = on;
+    /** Enables or disables the trace by an operator's command. */
+    void enable(boolean newEnabled) {
+        enabled = newEnabled;
         level = System.Logger.Level.INFO;
     }
 
--- a/balancer/src/main/java/gorsestack/proxy/ClientConnectionManager.java
+++ b/balancer/src/main/java/gorsestack/proxy/ClientConnectionManager.java
@@ -10,14 +10,14 @@
 import java.util.function.Predicate;
 
 /**
- * The connections that clients opened: limits their number, chooses which are closed when it is exceeded, and closes all of them at
- * shutdown. Owned by the event loop's thread. A connection is closed in a task behind the input that was read by then, so that none is
- * closed with a call waiting in the queue.
+ * Holds the connections that clients opened: limits their number, chooses which are closed when it is exceeded, and closes all of them
+ * at shutdown. Used by {@link CallDispatcher} and the server. Owned by the event loop's thread. A connection is closed in a task that is
+ * queued after the input read so far, so that none is closed while a call of its client is queued.
  */
 public final class ClientConnectionManager {
-    /** The least useful connections are closed first; see {@link ClientConnection#spared()}. */
+    /** The number of ranks that may be closed, lowest first; see {@link ClientConnection#closePriority()}. */
     private static final int CLOSABLE_RANKS = 3;
-    /** The rank of idle connections that have been served. */
+    /** The rank of idle connections that have had a response. */
     private static final int IDLE_SERVED_RANK = 2;
 
     private final EventLoop eventLoop;
@@ -41,19 +41,19 @@
         return open.size();
     }
 
-    /** Prevents running out of descriptors: a connection accepted now can only be rejected and closed. */
+    /** Returns whether new calls must be rejected and their connections closed. Prevents running out of descriptors. */
     boolean full() {
         return open.size() >= maxConnections + limits.client().spareConnections();
     }
 
-    /** Whether clients are being sent to another balancer. */
+    /** Returns whether clients are being moved to another balancer. */
     boolean evacuating() {
         return evacuating;
     }
 
     /**
-     * Whether connections are to be closed with their next response. Prevents the loss of a call that is on its way while its idle
-     * connection is closed, as was seen with few descriptors; right after a response that announces the close there is none.
+     * Returns whether connections are closed with their next response. Prevents the loss of a call that is in transit while its idle
+     * connection is closed, as was seen with few descriptors; after a response that announces the close, no call is in transit.
      */
     boolean closing() {
         return closing || evacuating || open.size() > maxConnections;
@@ -76,7 +76,7 @@
         enforceLimit();
     }
 
-    /** Prevents idle and silent clients from keeping out those that send calls. */
+    /** Closes connections over the limit. Prevents clients that are idle or never send a call from excluding those that do. */
     private void enforceLimit() {
         int excess = open.size() - maxConnections;
         for (int rank = 0; rank < CLOSABLE_RANKS && excess > 0; rank++) {
@@ -91,30 +91,30 @@
         }
     }
 
-    /** Closes at most so many connections of one rank, the oldest first, and returns how many. */
-    private int closeOldest(int rank, int atMost) {
+    /** Closes up to {@code maxCount} connections of one rank, the oldest first, and returns how many. */
+    private int closeOldest(int rank, int maxCount) {
         List<ClientConnection> chosen = open.stream()
                 .filter(connection -> connection.closePriority() == rank)
-                .limit(atMost)
+                .limit(maxCount)
                 .toList();
         chosen.forEach(ClientConnection::evict);
         return chosen.size();
     }
 
-    private void closeIdle(Predicate<ClientConnection> which) {
-        List.copyOf(open).stream().filter(which).forEach(connection -> eventLoop.execute(connection::closeIfIdle));
+    private void closeIdle(Predicate<ClientConnection> condition) {
+        List.copyOf(open).stream().filter(condition).forEach(connection -> eventLoop.execute(connection::closeIfIdle));
     }
 
-    /** Sends clients to another balancer, or accepts them again. */
-    void evacuate(boolean on) {
-        if (on && !evacuating) {
+    /** Moves clients to another balancer, or accepts them again. */
+    void evacuate(boolean enabled) {
+        if (enabled && !evacuating) {
             eventLoop.at(
                     eventLoop.now() + limits.client().evacuationIdleTimeoutNanos(), this::closeIdleWhileEvacuating);
         }
-        evacuating = on;
+        evacuating = enabled;
     }
 
-    /** Reaches clients without further calls: no response would tell them that the connection closes. */
+    /** Closes the connections of clients that send no further calls, as they get no response that announces the close. */
     private void closeIdleWhileEvacuating() {
         if (evacuating) {
             eventLoop.at(eventLoop.now() + limits.call().sweepIntervalNanos(), this::closeIdleWhileEvacuating);
@@ -122,25 +122,25 @@
         }
     }
 
-    /** Another process accepts clients: sends them there, as a large call that begins here might not be completed. */
+    /** Moves clients to another process that accepts them, as a large call that begins here might not be completed. */
     void closeForOtherProcess() {
         closing = true;
         closeIdle(ClientConnection::hasRequested);
     }
 
-    /** Closes idle connections now, the others with their response. */
+    /** Closes idle connections now, the others with their next response. */
     public void closeAll() {
         closing = true;
         closeIdle(connection -> true);
     }
 
-    /** Closes all connections but those with a large response in progress. */
+    /** Closes all connections except those with a large response in progress. */
     public void closeAllButLargeResponses() {
         List.copyOf(open).forEach(ClientConnection::endForShutdown);
     }
 
     /**
-     * Runs {@code action} once the last connection and its socket are closed. Prevents the end of the process from resetting a connection
+     * Runs {@code action} once the last connection and its socket are closed. Without this, the end of the process could reset a connection
      * that was just accepted and is not known to this thread yet, or one whose last response is still being written.
      */
     public void onAllClosed(Runnable action) {
@@ -161,7 +161,7 @@
         }
     }
 
-    /** Periodic upkeep: closes overdue connections, and idle ones beyond half of the limit. */
+    /** Runs the periodic maintenance: closes overdue connections, and idle ones beyond half of the limit. */
     void sweep() {
         eventLoop.execute(() -> {
             List.copyOf(open).forEach(ClientConnection::giveUpIfOverdue);
--- a/balancer/src/main/java/gorsestack/proxy/EndpointCache.java
+++ b/balancer/src/main/java/gorsestack/proxy/EndpointCache.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 
 /**
- * The complete current endpoint list in the form in which it is persisted for the next process. Exists only where a state folder is
- * configured. Owned by the event loop's thread.
+ * Holds the complete current endpoint list in the form in which it is persisted for the next process. Used by
+ * {@link RecoveryCoordinator}, only if a state folder is configured. Owned by the event loop's thread.
  */
 final class EndpointCache {
     private static final String READY = "in_service";
@@ -56,7 +56,7 @@
         return members.size();
     }
 
-    /** The list in its persisted form; null if discovery has never confirmed it. */
+    /** Returns the list in its persisted form, or null if discovery has never confirmed it. */
     PersistentState.EndpointSnapshot snapshot(InetSocketAddress discovery, long confirmedAt) {
         return confirmedAt == 0
                 ? null
@@ -64,7 +64,7 @@
                         index, WatchEvent.text(discovery), confirmedAt, List.copyOf(members.values()));
     }
 
-    /** A persisted list as the watch event of a list that the policy knew before. */
+    /** Returns the watch event by which the policy receives a persisted list. */
     static WatchEvent watchEvent(PersistentState.EndpointSnapshot persisted) {
         List<Endpoint> endpoints = new ArrayList<>();
         Map<String, InetSocketAddress> addresses = new HashMap<>();
--- a/balancer/src/main/java/gorsestack/proxy/EventLoopThread.java
+++ b/balancer/src/main/java/gorsestack/proxy/EventLoopThread.java
@@ -6,14 +6,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The event loop's thread, on the JDK's own scheduler. Its methods may be called from any thread; the tasks run on the one thread, in order.
+ * Runs the event loop on one thread of a scheduler of the JDK; the server creates it. Its methods may be called on any thread, and its
+ * tasks run one at a time, in order.
  */
 public final class EventLoopThread implements EventLoop {
     private static final System.Logger LOG = System.getLogger("gorsestack.eventloop");
 
     private final ScheduledThreadPoolExecutor executor =
             new ScheduledThreadPoolExecutor(1, task -> new Thread(task, "event-loop"));
-    // The wall clock is read once; monotonic time is added to it, so that setting the clock moves no deadline.
+    // The wall clock is read once and monotonic time is added to it, so that no deadline moves if the clock is set.
     private final long epochOffset = System.currentTimeMillis() * 1_000_000 - System.nanoTime();
 
     /** Creates the loop; its thread starts with the first task. */
@@ -42,7 +43,7 @@
         return () -> scheduled.cancel(false);
     }
 
-    /** Prevents a fault that one input triggers from ending the thread, and every other call with it. */
+    /** Runs a task and logs its exception, so that a fault that one input triggers does not end the thread and with it all other calls. */
     private static void runGuarded(Runnable task) {
         try {
             task.run();
--- a/balancer/src/main/java/gorsestack/proxy/InputClock.java
+++ b/balancer/src/main/java/gorsestack/proxy/InputClock.java
@@ -3,8 +3,8 @@
 import gorsestack.wire.EventLoop;
 
 /**
- * The time of the input that the balancing policy is handling. All that the policy asks for while it handles one input counts from that
- * one moment. Owned by the event loop's thread.
+ * Holds the time of the input that the balancing policy is handling. All durations that the policy sets while it handles one input count
+ * from this time. Shared by {@link CallDispatcher} and its collaborators. Owned by the event loop's thread.
  */
 final class InputClock {
     private final EventLoop eventLoop;
@@ -20,7 +20,7 @@
         return inputTime;
     }
 
-    /** The time of the current input. */
+    /** Returns the time of the current input. */
     long inputTime() {
         return inputTime;
     }
--- a/balancer/src/main/java/gorsestack/proxy/MaintenanceControl.java
+++ b/balancer/src/main/java/gorsestack/proxy/MaintenanceControl.java
@@ -5,11 +5,11 @@
 import gorsestack.settings.Limits;
 
 /**
- * What operators and the other process of this balancer order: upstreams in maintenance, clients sent to another balancer, and this
- * process's quota of connections and capacity. Owned by the event loop's thread.
+ * Applies the maintenance of upstreams that operators order, adjusts this process's quota of connections and capacity while another process
+ * of this balancer runs, and moves its clients there after a takeover. Used by {@link CallDispatcher}. Owned by the event loop's thread.
  */
 final class MaintenanceControl {
-    /** The quota of a process that shares its clients with another process of this balancer. */
+    /** The quota of a process while it and another process of this balancer accept clients. */
     private static final double SHARED_QUOTA = 0.5;
     /** The quota of a process that has been replaced, for the clients that are still connected to it. */
     private static final double REPLACED_QUOTA = 0.25;
@@ -33,15 +33,15 @@
         this.clients = clients;
     }
 
-    /** Takes an upstream out of service while {@code endedAt} is Handover.NOT_ENDED; otherwise it is back since that time. */
+    /** Puts an upstream into maintenance if {@code endedAt} is {@link Handover#NOT_ENDED}, or back into service as of {@code endedAt}. */
     void setMaintenance(String upstream, long endedAt) {
         policy.setMaintenance(clock.tick(), upstream, endedAt);
         pool.setMaintenance(upstream, endedAt == Handover.NOT_ENDED);
     }
 
     /**
-     * Another process of this balancer runs, or no longer: each gets half of the connections, and half of the concurrency limits and
-     * retry budgets while both accept clients.
+     * Adjusts the quota of this process. While another process of this balancer runs, each gets half of the connections; while both accept
+     * clients, each also gets half of the concurrency limits and retry budgets.
      */
     void shareWithAnotherProcess(boolean running, boolean acceptsClients, boolean shuttingDown) {
         if (!shuttingDown) {
@@ -52,7 +52,7 @@
         clients.limitConnections(limits.client().maxConnections() / processes);
     }
 
-    /** Another process of this balancer has taken over. */
+    /** Reduces this process's quota and moves its clients, as another process of this balancer has taken over. */
     void replaced() {
         policy.setQuota(clock.tick(), REPLACED_QUOTA);
         clients.closeForOtherProcess();
--- a/balancer/src/main/java/gorsestack/proxy/PeerChannel.java
+++ b/balancer/src/main/java/gorsestack/proxy/PeerChannel.java
@@ -2,15 +2,15 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Carries messages between balancers. Every method is called on the event loop's thread. */
+/** Carries messages between balancers. Used by {@link CallDispatcher} and {@link RecoveryCoordinator} on the event loop's thread. */
 public interface PeerChannel {
-    /** Sends load gossip to a peer, by its index; it may be lost. */
+    /** Sends load gossip to the peer with this index; the message may be lost. */
     void sendLoadGossip(int peer, byte[] message);
 
-    /** Handles a message from a peer; returns the load gossip in it for the policy, or null. */
+    /** Handles a message from a peer and returns the load gossip in it, or null if it has none. */
     byte[] onMessage(int peer, byte[] message);
 
-    /** The fraction of the known peers that restarted recently; NaN if unknown. */
+    /** Returns the fraction of the known peers that restarted recently; NaN if it is unknown. */
     default double recoveredRecentlyFraction() {
         return Double.NaN;
     }
--- a/balancer/src/main/java/gorsestack/proxy/ProductTable.java
+++ b/balancer/src/main/java/gorsestack/proxy/ProductTable.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The configured products by name. Immutable after construction. */
+/** Holds the configured products by name. Used by {@link CallDispatcher} and its collaborators. Immutable after construction. */
 final class ProductTable {
     private final Map<String, Settings.Product> byName = new HashMap<>();
 
@@ -14,18 +14,18 @@
         products.forEach(product -> byName.put(product.name(), product));
     }
 
-    /** The product of a request that was accepted, so its product is known. */
+    /** Returns the product of an accepted request, which is always a known one. */
     Settings.Product of(Request request) {
         return byName.get(request.product());
     }
 
-    /** How a product may be repeated; null for an unknown product. */
+    /** Returns whether and how calls of a product may be repeated; null for an unknown product. */
     Settings.Repeat repeat(String name) {
         Settings.Product product = byName.get(name);
         return product == null ? null : product.repeat();
     }
 
-    /** The longest that the client waits: its product's timeout, or less if the request says so. */
+    /** Returns for how long the client waits, in nanoseconds: its product's timeout, or less if the request states less. */
     long clientTimeout(Request request) {
         long configured = of(request).clientTimeout();
         return request.left() < 0 ? configured : Math.min(configured, request.left());
--- a/balancer/src/main/java/gorsestack/proxy/RecoveryCoordinator.java
+++ b/balancer/src/main/java/gorsestack/proxy/RecoveryCoordinator.java
@@ -18,9 +18,9 @@
 import java.util.function.Consumer;
 
 /**
- * The recovery of this balancer after a restart: the endpoint list and learned state that an earlier process persisted, the throttling when
- * many balancers restart at once, the progress, and their part of the status document. Each part exists only where it is configured. Owned
- * by the event loop's thread.
+ * Coordinates the recovery of this balancer after a restart: restores the endpoint list and learned state that an earlier process
+ * persisted, throttles when many balancers restart at once, tracks the progress, and reports these in the status document. Each part is
+ * active only if it is configured. Used by {@link CallDispatcher} and the server. Owned by the event loop's thread.
  */
 public final class RecoveryCoordinator {
     private static final System.Logger LOG = CallTrace.LOG;
@@ -32,14 +32,14 @@
     private final Consumer<WatchEvent> watchEventHandler;
     private PeerChannel peerChannel;
     private EndpointCache endpointCache;
-    /** The learned state of an earlier process, until discovery has reported which upstreams there are. */
+    /** The learned state of an earlier process, kept until discovery has delivered the current list; null if there is none. */
     private List<LearnedLocality> persistedLearned;
-    /** While a persisted list is in use, discovery is polled no sooner than this. */
+    /** The earliest time at which discovery is polled while a persisted list is in use; 0 if there is no such limit. */
     private long firstPollAt;
 
     private RecoveryProgress progress;
     private RestartStormDetector stormDetector;
-    /** By how much the storm detector spreads clients' retries, from 0 to 1. */
+    /** The degree to which clients' retries are spread out, from 0 to 1, as the storm detector sets it. */
     private double throttleLevel;
 
     RecoveryCoordinator(
@@ -73,7 +73,7 @@
         }
     }
 
-    /** A watch event has arrived; called before the policy handles it. */
+    /** Handles a watch event before the policy does. */
     void onWatchEvent(WatchEvent event) {
         if (endpointCache != null) {
             endpointCache.onWatchEvent(event);
@@ -83,7 +83,7 @@
         }
     }
 
-    /** The policy has handled a watch event. */
+    /** Handles a watch event after the policy has. */
     void afterPolicyUpdate(WatchEvent event, long now) {
         if (persistedLearned != null && event.update().kind() != EndpointUpdate.Kind.CACHED) {
             List<LearnedLocality> rows = RestorePolicy.reducedWithFleet(persistedLearned, policy.exportLearned());
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Clients' calls are accepted from now on. */
+    /** Records that clients' calls are accepted from now on. */
     void onReady() {
         if (progress != null) {
             progress.onAcceptingClients(eventLoop.now());
@@ -110,30 +110,30 @@
 
     // The endpoint list.
 
-    /** Watches the endpoint list, unless a persisted list is in use and discovery is to be polled later. */
+    /** Starts a watch of the endpoint list, unless a persisted list is in use and discovery is to be polled later. */
     void watch() {
         if (eventLoop.now() >= firstPollAt) {
             discovery.watch();
         }
     }
 
-    /** Polls discovery now, whatever was planned. */
+    /** Starts a watch of the endpoint list now, even if discovery was to be polled later. */
     public void pollNow() {
         firstPollAt = 0;
         discovery.watch();
     }
 
-    /** Caches the list for the next process; to be called before the first watch event. */
+    /** Caches the list for the next process; called before the first watch event. */
     public void cacheList() {
         endpointCache = new EndpointCache();
     }
 
-    /** The version of the current list. */
+    /** Returns the version of the current list. */
     public long listIndex() {
         return discovery.index();
     }
 
-    /** The current list and when it was last confirmed; null if it never was. */
+    /** Returns the current list with the time of its last confirmation, or null if it was never confirmed. */
     public PersistentState.EndpointSnapshot endpointSnapshot() {
         return endpointCache.snapshot(discovery.address(), discovery.confirmedAt());
     }
@@ -151,7 +151,7 @@
 
     // Restart storms.
 
-    /** Throttles until then, if the detector finds that many balancers have restarted at once. */
+    /** Throttles until the time {@code until} whenever the detector finds that many balancers have restarted at once. */
     public void throttleRestartStorm(RestartStormDetector detector, long until) {
         stormDetector = detector;
         updateThrottle(until);
@@ -195,7 +195,7 @@
         }
     }
 
-    /** The recovery's current step in lower case; empty if it is not tracked. */
+    /** Returns the name of the current recovery phase in lower case; empty if the recovery is not tracked. */
     String phase() {
         return progress == null ? "" : progress.phase().name().toLowerCase(Locale.ROOT);
     }
--- a/balancer/src/main/java/gorsestack/proxy/SendGate.java
+++ b/balancer/src/main/java/gorsestack/proxy/SendGate.java
@@ -3,17 +3,18 @@
 import gorsestack.wire.EventLoop;
 
 /**
- * Decides whether an attempt's request may still be written. This is all that the sockets' thread reads of a call: every field here, and
- * those of the call that are read here, is final or volatile. Written by the event loop's thread only.
+ * Decides whether an attempt's request may still be written. Base class of {@link UpstreamAttempt}. The sockets' thread reads nothing else
+ * of a call: every field of this class, and every field of the call that it reads, is final or volatile. Only the event loop's thread
+ * writes them.
  */
 abstract class SendGate {
-    /** How far an attempt has come; transitions only go down this list. */
+    /** The state of an attempt; a transition is only possible to a later constant. */
     enum State {
-        /** The request waits for a connection, or for its last byte to be written. */
+        /** The request waits for its connection, or is not completely written yet. */
         CONNECTING,
         /** The whole request has been written. */
         SENT,
-        /** The attempt has an outcome; what the connection brings later reaches nobody. */
+        /** The attempt has an outcome; bytes that the connection receives later are discarded. */
         FINISHED
     }
 
@@ -23,7 +24,7 @@
     private volatile long deadline;
     private final long sendBy;
 
-    /** @param sendBy the last moment at which the upstream still recognises the request as a duplicate; Long.MAX_VALUE without a limit */
+    /** @param sendBy the latest time at which the upstream recognises the request as a duplicate; Long.MAX_VALUE without a limit */
     SendGate(ActiveCall call, EventLoop clock, long deadline, long sendBy) {
         this.call = call;
         this.clock = clock;
@@ -31,7 +32,7 @@
         this.sendBy = sendBy;
     }
 
-    /** Whether the request is still wanted. Called on the sockets' thread just before the first byte, and on the event loop's. */
+    /** Returns whether the request may still be sent. Called on the event loop's thread, and on the sockets' just before the first byte. */
     public boolean mayBeSent() {
         long now = clock.now();
         return state != State.FINISHED
@@ -53,13 +54,13 @@
         return state == State.FINISHED;
     }
 
-    /** When the attempt times out. */
+    /** Returns when the attempt times out. */
     final long deadline() {
         return deadline;
     }
 
-    final void deadline(long at) {
-        deadline = at;
+    final void deadline(long newDeadline) {
+        deadline = newDeadline;
     }
 
     final long sendBy() {
--- a/balancer/src/main/java/gorsestack/proxy/StartTimes.java
+++ b/balancer/src/main/java/gorsestack/proxy/StartTimes.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 
 /**
- * When each upstream last started, on this process's monotonic clock. Discovery reports starts by the wall clock, which may have been set
- * since this process read it, here or everywhere. Each start is converted once, when it is first reported; reported again it is the same
- * start, however clocks have been set meanwhile. Owned by the event loop's thread.
+ * Converts the start times of upstreams to this process's monotonic clock. Discovery reports them by the wall clock, which may have been
+ * set since this process read it, on this machine or on all. Each start is converted once, when it is first reported; if it is reported
+ * again, the result is the same even if a clock was set meanwhile. Used by {@link CallDispatcher}. Owned by the event loop's thread.
  */
 final class StartTimes {
-    /** For so long an upstream that left the list is remembered: it may return without a restart. */
+    /** How long the start of an upstream that left the list is kept, as the upstream may return without a restart. */
     private static final long RETENTION_NANOS = 600_000_000_000L;
 
     private record KnownStart(long reportedAt, long startedAt, long lastSeen) {}
@@ -22,17 +22,17 @@
     private final Map<String, KnownStart> known = new HashMap<>();
     private long lastExpiry;
 
-    /** @param slowStart for how long an upstream is in slow start after its start */
+    /** @param slowStart for how long an upstream is in slow start after its start, in nanoseconds */
     StartTimes(long slowStart) {
         this.slowStart = slowStart;
     }
 
     /**
-     * Returns the same update with start times on the monotonic clock.
+     * Returns the update with start times on the monotonic clock.
      *
-     * @param now on that clock, which counts from what the wall clock said at the start of this process
-     * @param wallClock what the wall clock says now
-     * @param confirmedAt when the current list was last confirmed; 0 before any was
+     * @param now the monotonic time, which counts on from the wall clock's time at the start of this process
+     * @param wallClock the wall clock's current time
+     * @param confirmedAt when the current list was last confirmed; 0 before the first confirmation
      */
     EndpointUpdate onMonotonicClock(EndpointUpdate update, long now, long wallClock, long confirmedAt) {
         boolean live = confirmedAt > 0 && update.kind() != EndpointUpdate.Kind.CACHED;
@@ -56,9 +56,9 @@
     }
 
     /**
-     * The lesser of the plausible ages by both clocks, as taking a warm upstream for one in slow start costs less than the reverse. Prevents
-     * an upstream that starts while the list is watched from counting as warm because a clock was set: it cannot be older than
-     * {@code maxAge}.
+     * Returns the lesser of the plausible ages by the two clocks, as treating a warm upstream as one in slow start costs less than the
+     * reverse. An upstream that starts while the list is watched cannot be older than {@code maxAge}; the limit prevents it from counting
+     * as warm because a clock was set.
      */
     private static long age(long reportedAt, long now, long wallClock, long maxAge) {
         long byMonotonic = now - reportedAt;
--- a/balancer/src/main/java/gorsestack/proxy/UpstreamAttempt.java
+++ b/balancer/src/main/java/gorsestack/proxy/UpstreamAttempt.java
@@ -7,31 +7,31 @@
 import gorsestack.wire.UpstreamConnection;
 
 /**
- * One attempt of a call at one upstream: its state, its timeout and its outcome. Owned by the event loop's thread, but for what
- * {@link SendGate} holds.
+ * One attempt of a call at one upstream: its state, its timeout and its outcome. Created by {@link AttemptRunner}. Owned by the event
+ * loop's thread; the sockets' thread reads only {@link SendGate}.
  */
 final class UpstreamAttempt extends SendGate implements AttemptListener {
-    /** Attempts with longer than this to go have no deadline yet: the body of their request is incomplete. */
+    /** The longest timeout of a request whose body is complete; an attempt with more time has no deadline yet. */
     private static final long LONGEST_TIMEOUT_NANOS = Integer.MAX_VALUE * 1_000_000L;
 
     /** Receives the events of attempts, on the event loop's thread. */
     interface Listener {
-        /** The attempt has its outcome; called once. */
+        /** Handles the end of an attempt, which has its outcome; called once. */
         void onFinished(UpstreamAttempt attempt);
 
-        /** The whole request was written; its first byte at that time. */
+        /** Handles that the whole request was written, with its first byte at {@code firstByteAt}. */
         void onSent(UpstreamAttempt attempt, long firstByteAt);
 
         void onLoadReport(UpstreamAttempt attempt, String report);
 
-        /** The request was found to be unwanted just before it would have been written. */
+        /** Handles that the request was not written, as it was no longer allowed just before the write. */
         void onWithheld(UpstreamAttempt attempt);
 
-        /** The longest that the client of the call waits. */
+        /** Returns for how long the client of the call waits, in nanoseconds. */
         long clientTimeout(ActiveCall call);
     }
 
-    /** Its number within the call, from 0. */
+    /** The number of the attempt within its call, from 0. */
     final int number;
 
     final String upstream;
@@ -57,13 +57,13 @@
         this.listener = listener;
     }
 
-    /** Hands the request to a connection, which writes it once it is established. */
+    /** Gives the request to a connection, which writes it once it is established. */
     void sendOn(UpstreamConnection target) {
         connection = target;
         target.send(call.request.upload(), this);
     }
 
-    /** Finishes the attempt at its deadline. */
+    /** Schedules the end of the attempt at its deadline. */
     void scheduleTimeout() {
         cancelTimeout = clock.at(deadline(), () -> {
             closeConnection();
@@ -71,7 +71,7 @@
         });
     }
 
-    /** The request's body is complete: the attempt's time counts from now on. */
+    /** Restarts the attempt's time, as the request's body is complete, and schedules its timeout. */
     void restartTimeout(long now, long newDeadline) {
         startedAt = now;
         deadline(newDeadline);
@@ -80,54 +80,54 @@
         }
     }
 
-    /** Gives the attempt up. Its connection is closed with it, so that late bytes reach no later call. */
+    /** Closes the connection of an attempt that is abandoned, so that late bytes reach no later call. */
     void closeConnection() {
         if (!isFinished() && connection != null) {
             connection.giveUp();
         }
     }
 
-    /** Whether its request was handed to a connection and cannot have been written yet. */
+    /** Returns whether the request was given to a connection and cannot have been written yet. */
     boolean waitsToBeWritten() {
         return !isFinished() && connection != null && !connection.requestWritten();
     }
 
-    /** When the attempt was decided on, or its request's body was complete. */
+    /** Returns when the attempt was started or, if later, the body of its request became complete. */
     long startedAt() {
         return startedAt;
     }
 
-    /** The outcome; null until the attempt has finished. */
+    /** Returns the outcome; null until the attempt has finished. */
     Outcome outcome() {
         return outcome;
     }
 
-    /** The upstream's response; null unless the attempt was fulfilled. */
+    /** Returns the upstream's response; null unless the attempt was fulfilled. */
     Response response() {
         return response;
     }
 
-    /** Whether the upstream may have begun the work, as far as is known by now. */
+    /** Returns whether the upstream may have begun the work, as far as is known so far. */
     boolean mayHaveExecuted() {
         return outcome == null || !outcome.provesNotExecuted;
     }
 
-    /** Whether the request has no deadline yet, because its large body is incomplete. */
+    /** Returns whether the request has no deadline yet, because its large body is incomplete. */
     boolean bodyIncomplete() {
         return deadline() - startedAt > LONGEST_TIMEOUT_NANOS;
     }
 
     @Override
-    public void ended(Outcome how, Response brought) {
+    public void ended(Outcome finalOutcome, Response upstreamResponse) {
         if (!isFinished()) {
             state(State.FINISHED);
-            outcome = how;
-            response = brought;
+            outcome = finalOutcome;
+            response = upstreamResponse;
             listener.onFinished(this);
         }
     }
 
-    /** Cancels the timer of the timeout, if there is one. */
+    /** Cancels the timer that ends the attempt at its deadline, if there is one. */
     void cancelTimeout() {
         if (cancelTimeout != null) {
             cancelTimeout.run();
@@ -148,8 +148,9 @@
     }
 
     /**
-     * The request's bytes with the time that remains. It is computed as they are written: on a connection that is established late, the
-     * upstream would otherwise work on for a client that no longer waits. While the body is incomplete it is what the client stated.
+     * Returns the request's bytes with the remaining time, which is computed when they are written. Without this, an upstream whose
+     * connection is established late would work for a client that no longer waits. While the body is incomplete, it is the time that the
+     * client stated.
      */
     @Override
     public byte[] request() {
--- a/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
@@ -23,8 +23,8 @@
 import java.util.Set;
 
 /**
- * The connections to upstreams: establishes them, keeps idle ones for reuse, and closes them as upstreams drain, restart, move or leave the
- * endpoint list. Owned by the event loop's thread.
+ * Holds the connections to upstreams: establishes them, keeps idle ones for reuse, and closes them when upstreams drain, restart, change
+ * their address or leave the endpoint list. Used by {@link CallDispatcher} and {@link AttemptRunner}. Owned by the event loop's thread.
  */
 final class UpstreamConnectionPool implements UpstreamConnectionOwner {
     private static final ArrayDeque<UpstreamConnection> NONE = new ArrayDeque<>(0);
@@ -34,29 +34,29 @@
     private final EventLoop eventLoop;
     private final BufferBudget bufferBudget;
 
-    /** What the endpoint list says of each upstream, and where it listens. */
+    /** The entry of each upstream in the endpoint list, and the address on which it listens. */
     private final Map<String, Endpoint> endpoints = new HashMap<>();
 
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    /** Upstreams that drain by the endpoint list, and those in maintenance; the list's "ready" does not end maintenance. */
+    /** The upstreams that drain according to the endpoint list, and those in maintenance, which a ready state in the list does not end. */
     private final Set<String> draining = new HashSet<>();
 
     private final Set<String> inMaintenance = new HashSet<>();
-    /** Since when each upstream is known to accept no new requests; retained for a while after it left the list. */
+    /** The time since which each upstream is known to accept no new requests; kept for a while after it left the list. */
     private final Map<String, Long> drainingSince = new HashMap<>();
-    /** Upstreams whose idle and connecting connections are to be closed, once the whole watch event is applied. */
+    /** The upstreams whose idle and connecting connections are closed once the whole watch event is applied. */
     private final Set<String> toBeClosed = new LinkedHashSet<>();
 
-    private final Set<UpstreamConnection> all = new HashSet<>();
-    /** Idle connections by upstream, the one used last at the end. */
+    private final Set<UpstreamConnection> connections = new HashSet<>();
+    /** The idle connections by upstream, with the most recently used at the end. */
     private final Map<String, ArrayDeque<UpstreamConnection>> idle = new HashMap<>();
 
     private final Map<String, Long> lastReceivedAt = new HashMap<>();
     private int maxConnections;
-    /** Until then reused connections are taken for safely repeatable requests only. */
+    /** The time until which connections are reused only for safely repeatable requests. */
     private long reuseQuarantineUntil;
 
-    private long duplicateResponseAt = Long.MIN_VALUE / 2;
+    private long lastDuplicateResponseAt = Long.MIN_VALUE / 2;
 
     UpstreamConnectionPool(Network network, Limits limits, EventLoop eventLoop, BufferBudget bufferBudget) {
         this.network = network;
@@ -74,14 +74,14 @@
 
     /**
      * Applies an update of the endpoint list that the policy has already handled. Rule 3: requests that wait for a connection to a
-     * draining upstream are not sent, and idle connections there are closed. That comes last, as such requests are sent elsewhere at once,
-     * by this list.
+     * draining upstream are not sent, and idle connections to it are closed. This is done last, as the policy sends these requests
+     * elsewhere at once, according to the new list.
      */
     void onWatchEvent(WatchEvent event) {
         if (event.update().kind() != EndpointUpdate.Kind.DELTA) {
             removeUnlisted(event.update());
         }
-        // In order, so that of an upstream removed and added again in one message the later entry counts.
+        // The entries are applied in order, so that the last one counts if a message removes an upstream and adds it again.
         for (Endpoint endpoint : event.update().endpoints()) {
             if (endpoint.state() == EndpointState.GONE) {
                 remove(endpoint.id());
@@ -107,7 +107,7 @@
                 .forEach(this::remove);
     }
 
-    /** Prevents a leak, as ids are always new, and the reuse of connections by another upstream at the same address. */
+    /** Removes an upstream. Prevents a leak, as ids are always new, and the reuse of connections by another upstream at its address. */
     private void remove(String upstream) {
         addresses.remove(upstream);
         endpoints.remove(upstream);
@@ -117,7 +117,7 @@
         toBeClosed.add(upstream);
     }
 
-    /** Prevents the reuse of connections to an earlier address, which may by now be another upstream's. */
+    /** Sets an address. Prevents the reuse of connections to the previous one, which may belong to another upstream by now. */
     private void setAddress(String upstream, InetSocketAddress address) {
         InetSocketAddress previous = addresses.put(upstream, address);
         if (previous != null && !previous.equals(address)) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Prevents the reuse of connections to an upstream that has restarted since: they end under the next request. */
+    /** Sets a list entry. Prevents the reuse of connections to an upstream that has restarted: they would break on the next request. */
     private void setEndpoint(Endpoint endpoint) {
         Endpoint previous = endpoints.put(endpoint.id(), endpoint);
         if (previous != null && previous.startedAt() != endpoint.startedAt()) {
@@ -133,17 +133,17 @@
         }
     }
 
-    private void setDraining(String upstream, boolean drains) {
-        if (drains && draining.add(upstream)) {
+    private void setDraining(String upstream, boolean isDraining) {
+        if (isDraining && draining.add(upstream)) {
             toBeClosed.add(upstream);
             drainingSince.putIfAbsent(upstream, eventLoop.now());
-        } else if (!drains) {
+        } else if (!isDraining) {
             draining.remove(upstream);
             clearDrainingSince(upstream);
         }
     }
 
-    /** Takes an upstream out of service, or back, by an operator's order. */
+    /** Puts an upstream into maintenance, or back into service, by an operator's order. */
     void setMaintenance(String upstream, boolean outOfService) {
         if (outOfService && inMaintenance.add(upstream)) {
             drainingSince.putIfAbsent(upstream, eventLoop.now());
@@ -160,17 +160,17 @@
         }
     }
 
-    /** Since when the upstream is known to accept no new requests; Long.MAX_VALUE if it accepts them. */
+    /** Returns since when the upstream is known to accept no new requests; Long.MAX_VALUE if it accepts them. */
     long drainingSince(String upstream) {
         return drainingSince.getOrDefault(upstream, Long.MAX_VALUE);
     }
 
-    /** What the endpoint list says of the upstream, null if it is not listed. */
+    /** Returns the upstream's entry in the endpoint list, or null if it is not listed. */
     Endpoint endpoint(String upstream) {
         return endpoints.get(upstream);
     }
 
-    /** Whether the endpoint list has an address of the upstream. */
+    /** Returns whether the endpoint list has an address of the upstream. */
     boolean isListed(String upstream) {
         return addresses.containsKey(upstream);
     }
@@ -178,9 +178,9 @@
     // Connections.
 
     /**
-     * Returns a connection for one attempt: the idle one used last or a new one, null if there can be none.
+     * Returns a connection for one attempt: the most recently used idle one or a new one, or null if none is available.
      *
-     * @param safelyRepeatable whether the request may be repeated if a reused connection ends under it
+     * @param safelyRepeatable whether the request may be repeated if a reused connection breaks before the response
      */
     UpstreamConnection take(String upstream, boolean safelyRepeatable) {
         long now = eventLoop.now();
@@ -191,22 +191,22 @@
                 return reused;
             }
         } else if (!candidates.isEmpty()) {
-            // The new connection replaces it: an upstream accepts a limited number.
+            // The new connection replaces an idle one, as an upstream accepts a limited number.
             candidates.peekFirst().close();
         }
         InetSocketAddress address = addresses.get(upstream);
-        if (address == null || (all.size() >= maxConnections && !closeLeastRecentlyUsed())) {
+        if (address == null || (connections.size() >= maxConnections && !closeLeastRecentlyUsed())) {
             return null;
         }
         return connect(upstream, address, now);
     }
 
     /**
-     * Prevents a duplicate of the previous response, which arrives right behind it, from being taken for the next attempt's: a connection
-     * has to be idle for a moment before it is reused.
+     * Removes and returns the most recently used connection that has been idle for the reuse delay, or null. Without the delay, a duplicate
+     * of the previous response, which arrives right behind it, could be taken for the response to the next attempt.
      */
     private UpstreamConnection takeIdle(ArrayDeque<UpstreamConnection> candidates, long now) {
-        boolean duplicatesSeen = now - duplicateResponseAt < limits.upstream().quarantineNanos();
+        boolean duplicatesSeen = now - lastDuplicateResponseAt < limits.upstream().quarantineNanos();
         long idleBefore = now
                 - (duplicatesSeen
                         ? limits.upstream().quarantineReuseDelayNanos()
@@ -225,8 +225,8 @@
     private UpstreamConnection connect(String upstream, InetSocketAddress address, long now) {
         UpstreamConnection connection = new UpstreamConnection(limits, eventLoop, this, upstream, address);
         connection.connect(network);
-        all.add(connection);
-        // A host that is down completes no connect: an attempt there has to end in time, as not executed.
+        connections.add(connection);
+        // A connect to a host that is down does not complete; the timeout ends the attempt in time, as not executed.
         eventLoop.at(now + limits.upstream().connectTimeoutNanos(), connection::connectTimedOut);
         return connection;
     }
@@ -244,7 +244,7 @@
 
     @Override
     public void closed(UpstreamConnection connection) {
-        all.remove(connection);
+        connections.remove(connection);
         ArrayDeque<UpstreamConnection> cached = idle.get(connection.upstream);
         if (cached != null) {
             cached.remove(connection);
@@ -258,7 +258,7 @@
         }
     }
 
-    /** Whether any byte arrived from the upstream at that time or later. */
+    /** Returns whether any byte arrived from the upstream at {@code time} or later. */
     boolean receivedSince(String upstream, long time) {
         return lastReceivedAt.getOrDefault(upstream, Long.MIN_VALUE) >= time;
     }
@@ -268,24 +268,24 @@
         return bufferBudget;
     }
 
-    /** Prevents the loss of calls that may not be repeated where upstreams close idle connections under a request. */
+    /** Suspends the reuse of connections for calls that may not be repeated. Without this, they are lost where upstreams close idle ones. */
     @Override
     public void reusedConnectionLost() {
         reuseQuarantineUntil = eventLoop.now() + limits.upstream().quarantineNanos();
     }
 
-    /** Limits the connects in progress to a host that is down: one that is established late is useful, a dozen are not. */
+    /** Limits the abandoned connects to an upstream that is down to one: one connection established late is useful, a dozen are not. */
     @Override
     public boolean mayContinueConnecting(UpstreamConnection connection) {
         return acceptsRequests(connection)
-                && all.stream()
+                && connections.stream()
                         .noneMatch(other ->
                                 other != connection && other.spare() && other.upstream.equals(connection.upstream));
     }
 
     @Override
     public void unexpectedBytes() {
-        duplicateResponseAt = eventLoop.now();
+        lastDuplicateResponseAt = eventLoop.now();
     }
 
     @Override
@@ -303,13 +303,13 @@
         }
     }
 
-    /** Closes the upstream's idle connections and withdraws requests that are not written yet. */
+    /** Closes the upstream's idle connections and withdraws the requests to it that are not written yet. */
     private void closeUnused(String upstream) {
         closeIdle(upstream);
         if (!addresses.containsKey(upstream)) {
             idle.remove(upstream);
         }
-        List.copyOf(all).stream()
+        List.copyOf(connections).stream()
                 .filter(connection -> connection.upstream.equals(upstream))
                 .forEach(UpstreamConnection::withdraw);
     }
@@ -326,12 +326,12 @@
         return oldest != null;
     }
 
-    /** Closes connections that have been idle for long, before the upstream does, and forgets upstreams removed long ago. */
+    /** Closes connections that have been idle for long, before the upstream does, and drops the state of upstreams removed long ago. */
     void closeExpired() {
-        long forgetBefore = eventLoop.now() - limits.shutdown().responseNanos();
+        long removeBefore = eventLoop.now() - limits.shutdown().responseNanos();
         drainingSince
                 .entrySet()
-                .removeIf(entry -> entry.getValue() < forgetBefore && !addresses.containsKey(entry.getKey()));
+                .removeIf(entry -> entry.getValue() < removeBefore && !addresses.containsKey(entry.getKey()));
         long idleBefore = eventLoop.now() - limits.upstream().idleTimeoutNanos();
         for (ArrayDeque<UpstreamConnection> cached : idle.values()) {
             while (!cached.isEmpty() && cached.peekFirst().idleSince < idleBefore) {
--- a/balancer/src/main/java/gorsestack/proxy/package-info.java
+++ b/balancer/src/main/java/gorsestack/proxy/package-info.java
@@ -1,7 +1,10 @@
 /**
  * The calls of clients and their attempts at upstreams. {@link gorsestack.proxy.CallDispatcher} connects sockets, discovery and operators
  * with the balancing policy of {@code gorsestack.decision}, which makes every decision; the other classes each hold one part of the state.
- * All of it is owned by the event loop's thread ({@link gorsestack.proxy.EventLoopThread}), but for what {@code SendGate} holds, which the
- * sockets' thread reads.
+ * All state is owned by the event loop's thread ({@link gorsestack.proxy.EventLoopThread}); the sockets' thread reads only the state in
+ * {@code SendGate}.
+ *
+ * <p>Comments refer to three rules by number. Rule 1: every call that was accepted gets one final response before the client's timeout, and
+ * nothing is sent for it after that. Rule 2: no call takes effect twice. Rule 3: an upstream that drains is sent no new requests.
  */
 package gorsestack.proxy;
