--- a/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
@@ -268,7 +268,7 @@
         return bufferBudget;
     }
 
-    /** Suspends the reuse of connections for calls that may not be repeated. Without this, they are lost where upstreams close idle ones. */
+    /** Suspends the reuse of connections for calls that may not be repeated: they are lost where upstreams close idle ones. */
     @Override
     public void reusedConnectionLost() {
         reuseQuarantineUntil = eventLoop.now() + limits.upstream().quarantineNanos();
--- a/balancer/src/test/java/gorsestack/proxy/AttemptOutcomeTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/AttemptOutcomeTest.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Outcomes of attempts: whether the call is retried elsewhere, and the effect on the health of the upstream. */
+/** Tests how outcomes of attempts decide whether the call is retried elsewhere and whether the upstream counts as unhealthy. */
 class AttemptOutcomeTest {
     @Test
-    void treatsADisconnectAsNotExecutedOnlyBeforeTheLastByte() throws IOException {
+    void retriesAfterADisconnectOnlyIfTheRequestWasNotCompletelySent() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
         rig.connectsAtOnce = false;
         FakeSocket client = rig.client();
@@ -24,11 +24,11 @@
         first.queueDisconnect();
         rig.runPending();
         FakeSocket second = rig.lastUsed();
-        assertTrue(second != first, "not executed there, so it may be retried elsewhere");
+        assertTrue(second != first, "the request was not executed there, so it is retried elsewhere");
         second.connect();
         second.queueDisconnect();
         rig.runPending();
-        assertEquals(2, rig.upstreamConnections().size(), "it may have been executed");
+        assertEquals(2, rig.upstreamConnections().size(), "no retry, as the request may have been executed");
         expectResponse(502, client);
         rig.connectsAtOnce = true;
         client.send(request("once", "c2"));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void acceptsOnlyTheUnprocessedHeaderAsProofOfNoExecution() throws IOException {
+    void retriesAnErrorResponseOnlyIfItHasTheUnprocessedHeader() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
         FakeSocket client = rig.client();
         client.send(request("once", "c1"));
@@ -49,26 +49,23 @@
         expectResponse(502, client);
         assertEquals(2, rig.upstreamConnections().size());
         client.send(request("once", "c2"));
-        rig.lastUsed().send("HTTP/1.1 200 OK\r\n\r\nan answer that has no end");
+        rig.lastUsed().send("HTTP/1.1 200 OK\r\n\r\na response without an end");
         rig.advance(300);
         expectResponse(502, client);
     }
 
     @Test
-    void boundsConnectTimeAndRetriesElsewhere() throws IOException {
+    void retriesElsewhereWhenAConnectTimesOut() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
         rig.connectsAtOnce = false;
         rig.client().send(request("once", "c"));
         assertEquals(1, rig.upstreamConnections().size());
         rig.advance(121);
-        assertEquals(2, rig.upstreamConnections().size(), "no connection in time proves that nothing was executed");
+        assertEquals(2, rig.upstreamConnections().size(), "a connect that timed out proves that nothing was executed");
         assertTrue(!rig.upstreamConnections().get(0).remoteAddress.equals(rig.lastUsed().remoteAddress));
     }
 
-    /**
-     * Rule 2, the converse: a refused connection proves that nothing was executed, so even a call that may not be repeated is retried
-     * elsewhere.
-     */
+    /** Rule 2: a refused connection proves that nothing was executed, so even a call that may not be repeated is retried elsewhere. */
     @Test
     void retriesElsewhereWhenAConnectionIsRefused() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
@@ -83,9 +80,9 @@
         expectResponse(200, client);
     }
 
-    /** Seen when a zone was lost: attempts that ran out of time were reported as cancelled, and no upstream was ejected. */
+    /** Guards against reporting attempts that timed out as cancelled: when a zone was lost, no upstream was ejected because of this. */
     @Test
-    void reportsAnAttemptThatUsedAllItsTimeAsTimedOut() throws IOException {
+    void ejectsAnUpstreamWhoseAttemptsTimeOut() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
         List<FakeSocket> unresponsive = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
@@ -100,7 +97,7 @@
         }
         assertTrue(unresponsive.size() > 3);
         rig.advance(300);
-        unresponsive.get(0).sendOk("it still responds to some");
+        unresponsive.get(0).sendOk("a response to one call");
         rig.advance(2_000);
         for (int i = 0; i < 10; i++) {
             rig.client().send(request("once", "d" + i));
@@ -109,7 +106,7 @@
         }
     }
 
-    /** Danger: every upstream rejects the calls of faulty clients; counted as failures, they would eject the whole fleet. */
+    /** Every upstream rejects the calls of faulty clients. If these counted as failures, all upstreams would be ejected. */
     @Test
     void doesNotEjectAnUpstreamThatRejectsBadRequests() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
--- a/balancer/src/test/java/gorsestack/proxy/CallFixture.java
+++ b/balancer/src/test/java/gorsestack/proxy/CallFixture.java
@@ -14,11 +14,11 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** An event loop on a clock set by hand, clients without sockets, and a listener that writes down what attempts report. */
+/** An event loop on a clock that the test sets, clients without sockets, and a listener that records the events of attempts. */
 final class CallFixture implements EventLoop, UpstreamAttempt.Listener {
-    private record Timer(long at, Runnable task) {}
+    private record Timer(long dueAt, Runnable task) {}
 
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.dueAt, b.dueAt));
     final List<String> events = new ArrayList<>();
     long now;
     boolean clientOpen = true;
@@ -27,7 +27,7 @@
         return new Request(null, new byte[0], null, id, "product", -1);
     }
 
-    /** A client whose connection is open as long as {@link #clientOpen} says so. */
+    /** Returns a client whose connection is open while {@link #clientOpen} is true. */
     ClientConnection client() {
         Limits limits;
         try {
@@ -37,8 +37,8 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        ClientConnection client = new ClientConnection(limits, this, quiet(ClientRequestHandler.class));
-        client.opened(quiet(Channel.class));
+        ClientConnection client = new ClientConnection(limits, this, stub(ClientRequestHandler.class));
+        client.opened(stub(Channel.class));
         return client;
     }
 
@@ -46,8 +46,8 @@
         return new UpstreamAttempt(call, "u", now, deadline, sendBy, this, this);
     }
 
-    /** Does nothing; as a channel it is open as {@link #clientOpen} says. */
-    private <T> T quiet(Class<T> type) {
+    /** Returns an object of this type whose methods do nothing; a channel is open while {@link #clientOpen} is true. */
+    private <T> T stub(Class<T> type) {
         Object proxy = Proxy.newProxyInstance(
                 type.getClassLoader(), new Class<?>[] {type}, (self, method, arguments) -> switch (method.getName()) {
                     case "open" -> clientOpen;
@@ -58,9 +58,9 @@
     }
 
     void runUntil(long time) {
-        while (!timers.isEmpty() && timers.peek().at <= time) {
+        while (!timers.isEmpty() && timers.peek().dueAt <= time) {
             Timer timer = timers.poll();
-            now = timer.at;
+            now = timer.dueAt;
             timer.task.run();
         }
         now = time;
--- a/balancer/src/test/java/gorsestack/proxy/CallTableTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/CallTableTest.java
@@ -10,13 +10,13 @@
 import gorsestack.decision.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Calls stay in the table until they have a response and their last attempt has finished. */
+/** Tests that calls stay in the table until they have a response and their last attempt has finished. */
 class CallTableTest {
     private final CallFixture fixture = new CallFixture();
     private final CallTable calls = new CallTable();
 
     @Test
-    void aCallIsFoundByIdAndByClientUntilItsResponse() {
+    void findsACallByIdAndByClientUntilItsResponse() {
         var client = fixture.client();
         ActiveCall call = calls.add(client, CallFixture.request("c"));
         assertSame(call, calls.byId("c"));
@@ -33,13 +33,13 @@
     }
 
     @Test
-    void aCallWithAnAttemptInFlightStaysAndALaterCallOfItsIdGetsAnother() {
+    void keepsACallWithAnAttemptInFlightAndGivesALaterCallWithItsIdAnotherId() {
         ActiveCall first = calls.add(fixture.client(), CallFixture.request("c"));
         UpstreamAttempt attempt = fixture.attempt(first, 100, Long.MAX_VALUE);
         first.attemptStarted(attempt);
         first.end(fixture);
         calls.removeIfFinished(first);
-        assertSame(first, calls.byId("c"), "its attempt is in flight");
+        assertSame(first, calls.byId("c"), "the call stays while its attempt is in flight");
 
         ActiveCall second = calls.add(fixture.client(), CallFixture.request("c"));
         assertNotSame(first, second);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void onlyCallsWithoutAResponseAreVisited() {
+    void visitsOnlyCallsWithoutAResponse() {
         ActiveCall ended = calls.add(fixture.client(), CallFixture.request("a"));
         ActiveCall open = calls.add(fixture.client(), CallFixture.request("b"));
         ended.end(fixture);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void anEndedCallKnowsWhenAndWhyAndCancelsItsBackstop() {
+    void endingACallRecordsTimeAndDisconnectAndCancelsItsDeadlineTimer() {
         ActiveCall call = calls.add(fixture.client(), CallFixture.request("c"));
         boolean[] cancelled = {false};
         call.deadlineBackstop(() -> cancelled[0] = true);
--- a/balancer/src/test/java/gorsestack/proxy/ClientDisconnectOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ClientDisconnectOrderingTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients' disconnects that cross their calls, bodies and attempts, on real connections. */
+/** Tests disconnects of clients that coincide with their calls, request bodies and attempts, on real connections. */
 @Timeout(60)
 class ClientDisconnectOrderingTest {
-    /** Behind more pipelined input than is queued, a client's disconnect is still detected, and no attempt is begun. */
+    /** The client pipelines more input than is queued and disconnects. The disconnect is still detected, and no attempt is started. */
     @Test
-    void detectsADisconnectBehindPipelinedCalls() throws Exception {
+    void detectsADisconnectAfterPipelinedCalls() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectClient();
             send(client, request("read", "first"));
@@ -42,11 +42,11 @@
             flood.join();
             send(upstream, ok("1"));
             rig.advance(3_000);
-            assertNull(rig.upstreams.get(0).acceptWithin(50), "no attempt is begun for it");
+            assertNull(rig.upstreams.get(0).acceptWithin(50), "no attempt is started for it");
         }
     }
 
-    /** The client disconnects in the middle of a body that no upstream consumes yet. */
+    /** The client disconnects after part of a body that no upstream consumes yet. */
     @Test
     void detectsADisconnectInTheMiddleOfABody() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
@@ -55,23 +55,23 @@
                     client,
                     request("once", "c").replace("Length: 2\r\n\r\nhi", "Length: 120000\r\n\r\n")
                             + "x".repeat(110_000));
-            // The connection to the upstream is established and not seen by the event loop: nothing is consumed yet.
+            // The connection to the upstream is established, but the event loop has not been notified: nothing is consumed yet.
             rig.runUntil(() -> rig.upstreamSpies.size() == 1);
             client.close();
             rig.awaitWithoutRunning(() -> !rig.clientSpy(0).channel.open());
             rig.runUntil(() -> rig.upstreamSpies.get(0).channel != null);
             rig.advance(3_000);
             assertEquals(1, rig.upstreamSpies.size());
-            assertEquals(0, rig.upstreamSpies.get(0).sentCount, "no byte of it is forwarded");
+            assertEquals(0, rig.upstreamSpies.get(0).sentCount, "no byte of the body is forwarded");
         }
     }
 
     /**
-     * The client sends a complete body, larger than the buffer for a slow consumer, and disconnects; the connection of its attempt is
-     * established after that.
+     * The client sends a complete body, larger than the buffer for a slow consumer, and disconnects. The connection of its attempt is
+     * established only after that.
      */
     @Test
-    void detectsADisconnectBehindALargeUnconsumedBody() throws Exception {
+    void detectsADisconnectAfterALargeUnconsumedBody() throws Exception {
         for (int bytes : new int[] {300_000, 1_000_000}) {
             try (SocketRig rig = new SocketRig(1)) {
                 rig.withholdsConnects = true;
@@ -95,16 +95,14 @@
                 rig.upstreamSpies.get(0).release();
                 rig.advance(3_000);
                 assertEquals(1, rig.upstreamSpies.size());
-                assertEquals(0, rig.upstreamSpies.get(0).sentCount, "no byte of it is forwarded");
+                assertEquals(0, rig.upstreamSpies.get(0).sentCount, "no byte of the body is forwarded");
             }
         }
     }
 
-    /**
-     * Where attempts may not be cancelled: a body cut short, by a disconnect or by malformed input, ends the attempt that it was for.
-     */
+    /** A body that is truncated by a disconnect or by malformed input ends its attempt even if attempts may not be cancelled. */
     @Test
-    void endsTheAttemptOfATruncatedBodyWithoutCancellation() throws Exception {
+    void endsTheAttemptOfATruncatedBodyEvenIfAttemptsMayNotBeCancelled() throws Exception {
         for (boolean disconnects : new boolean[] {true, false}) {
             try (SocketRig rig =
                     new SocketRig(1, SocketRig.SETTINGS.replace("\"mayCancel\":true", "\"mayCancel\":false"))) {
@@ -123,9 +121,9 @@
                 }
                 rig.runUntil(() -> rig.upstreamSpies.get(0).closedCount > 0);
                 String body = readToEnd(upstream);
-                assertFalse(body.endsWith("0\r\n\r\n"), "nothing makes it look complete");
+                assertFalse(body.endsWith("0\r\n\r\n"), "the truncated body does not look complete");
                 rig.advance(3_000);
-                assertEquals(1, rig.upstreamSpies.size(), "no other attempt");
+                assertEquals(1, rig.upstreamSpies.size(), "no other attempt is started");
                 if (!disconnects) {
                     assertTrue(readMessage(client).startsWith("HTTP/1.1 400 "));
                     assertEquals(1, rig.clientSpy(0).sentCount);
@@ -134,9 +132,9 @@
         }
     }
 
-    /** The client's disconnect is in the event loop's queue, behind the task that begins an attempt for it. */
+    /** The client's disconnect is queued in the event loop after the task that starts an attempt for it. */
     @Test
-    void beginsNoAttemptForAClientWhoseDisconnectIsQueued() throws Exception {
+    void startsNoAttemptForAClientWhoseDisconnectIsQueued() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectClient();
             send(client, request("read", "c"));
@@ -145,11 +143,11 @@
             rig.awaitWithoutRunning(() -> !rig.clientSpy(0).channel.open());
             rig.runUntil(() -> rig.clientSpy(0).closedCount > 0);
             rig.advance(3_000);
-            assertNull(rig.upstreams.get(0).acceptWithin(50), "no attempt was begun");
+            assertNull(rig.upstreams.get(0).acceptWithin(50), "no attempt was started");
         }
     }
 
-    /** The connection of an attempt is established after its client has disconnected: closed, reset or half closed. */
+    /** The connection of an attempt is established after its client has closed, reset or half closed its own. */
     @Test
     void sendsNothingOnAConnectionEstablishedAfterTheClientDisconnected() throws Exception {
         for (String variant : new String[] {"closed", "reset", "half closed"}) {
--- a/balancer/src/test/java/gorsestack/proxy/ClientRequestTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ClientRequestTest.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Invalid, incomplete and excessive requests of clients. */
+/** Tests invalid, incomplete, duplicate and oversized requests, and too many client connections. */
 class ClientRequestTest {
     @Test
-    void rejectsInvalidRequestsWithADefiniteStatus() throws IOException {
+    void rejectsInvalidRequestsWithTheirStatus() throws IOException {
         String[][] rows = {
             {"404", request("read", "c").replace("/read", "/other")},
             {"400", request("mark", "c").replace("Idempotency-Key: k\r\n", "")},
@@ -31,7 +31,7 @@
             {"405", request("read", "c").replace("GET", "POST")},
             {"405", request("once", "c").replace("POST", "GET")},
             {"400", request("read", "c").replace("\r\n\r\n", "\r\nContent-Length: 2\r\n\r\nhi")},
-            {"400", request("once", "c") + "a body longer than it said"},
+            {"400", request("once", "c") + "a body longer than declared"},
             {"505", request("read", "c").replace("1.1", "1.0")},
             {"400", request("read", "c").replace("2000m", "soon")},
             {"502", request("read", "c").replace("2000m", "0m")},
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Danger: an error response is due 3 s after connecting, however slowly the bytes arrive. */
+    /** Prevents a client that sends bytes slowly from postponing its error response, which is due 3 s after connecting. */
     @Test
     void timesOutAnIncompleteRequest() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
@@ -68,9 +68,9 @@
         assertFalse(client.open());
     }
 
-    /** Danger: an upstream would take the second call for a copy of the first, and the responses would be mixed up. */
+    /** Without the check, an upstream takes the second call for a duplicate of the first, and the responses are mixed up. */
     @Test
-    void rejectsTheIdOfACallInFlight() throws IOException {
+    void rejectsACallWithTheIdOfACallInFlight() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
         FakeSocket first = rig.client();
         FakeSocket second = rig.client();
@@ -87,7 +87,7 @@
         assertTrue(again.output.endsWith("b"), again.output);
     }
 
-    /** Danger: 60 MB at full speed; of a rejected request only a little more is read. */
+    /** A rejected request has a body of 60 MB that arrives at full speed; only a little of it is read. */
     @Test
     void stopsReadingARejectedRequest() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
@@ -95,16 +95,16 @@
         client.send(request("once", "c").replace("Length: 2", "Length: 60000000"));
         assertFalse(
                 client.open(),
-                "in order, so that the client reads its response; ConnectionCloseOrderingTest covers what is discarded then");
+                "closed in order, so that the client reads its response; ConnectionCloseOrderingTest covers the discarded input");
         expectResponse(413, client);
         FakeSocket more = rig.client();
         more.send(request("read", "d"));
         more.send("no request");
         expectResponse(400, more);
-        assertFalse(rig.lastUsed().open(), "its attempt is cancelled");
+        assertFalse(rig.lastUsed().open(), "the attempt of the call is cancelled");
     }
 
-    /** Danger: seen with 256 descriptors. Clients that stay connected after one request, or never send any, kept others out. */
+    /** Guards against a fault seen with 256 descriptors: clients that were idle after one request, or never sent one, excluded others. */
     @Test
     void closesIdleClientConnectionsToAdmitActiveOnes() throws IOException {
         DispatcherRig rig = new DispatcherRig("{\"sockets\":96}", endpoint(1, "in_service"), endpoint(2, "in_service"));
@@ -115,26 +115,26 @@
             rig.lastUsed().sendOk("x");
         }
         rig.advance(1_000);
-        List<FakeSocket> silent = new ArrayList<>();
+        List<FakeSocket> unused = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            silent.add(rig.client());
+            unused.add(rig.client());
         }
         rig.advance(100);
         for (int i = 0; i < 8; i++) {
             rig.client().send(request("once", "c" + i));
         }
-        assertEquals(8, silent.stream().filter(socket -> !socket.open()).count(), "one for each client over the limit");
-        assertTrue(idle.stream().allMatch(FakeSocket::open), "idle for less than 2 s: a request may be on its way");
+        assertEquals(8, unused.stream().filter(socket -> !socket.open()).count(), "one is closed for each client over the limit");
+        assertTrue(idle.stream().allMatch(FakeSocket::open), "idle for less than 2 s, so a request may be in transit");
         rig.advance(2_400);
-        assertTrue(silent.stream().noneMatch(FakeSocket::open), "no request within 2 s of connecting");
+        assertTrue(unused.stream().noneMatch(FakeSocket::open), "closed, as they sent no request within 2 s of connecting");
         assertTrue(
-                idle.stream().noneMatch(FakeSocket::open), "idle for 2 s, with more than half of the capacity in use");
-        FakeSocket last = null;
+                idle.stream().noneMatch(FakeSocket::open), "closed, as they were idle for 2 s and more than half of the limit is in use");
+        FakeSocket excess = null;
         for (int i = 0; i < 16; i++) {
-            last = rig.client();
-            last.send(request("once", "d" + i));
+            excess = rig.client();
+            excess.send(request("once", "d" + i));
         }
-        expectResponse(503, last);
-        assertFalse(last.open(), "no capacity: its response closes the connection");
+        expectResponse(503, excess);
+        assertFalse(excess.open(), "a connection over the limit is closed after its response");
     }
 }
--- a/balancer/src/test/java/gorsestack/proxy/ConnectOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ConnectOrderingTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections to upstreams that are established as something else ends, on real connections. */
+/** Tests connections to upstreams that are established after their attempt was abandoned or their upstream changed, on real sockets. */
 @Timeout(60)
 class ConnectOrderingTest {
     /**
-     * Seen in a lab scenario: attempts abandoned as their connections were established. The library counted such a connect twice, and
-     * from then on no connection was established until another was begun. Connects are not cancelled any more, and each that follows is
-     * established by itself.
+     * Guards against a fault seen in a lab scenario: when an attempt was abandoned just as its connection was established, MINA counted
+     * the cancelled connect twice, and from then on no connection was established until another was started. Connects are no longer
+     * cancelled, so later ones are established without delay.
      */
     @Test
-    void anAbandonedConnectDelaysNoOther() throws Exception {
+    void anAbandonedConnectDoesNotDelayLaterConnects() throws Exception {
         for (int i = 0; i < 25; i++) {
             try (SocketRig rig = new SocketRig(2)) {
                 Socket client = rig.connectClient();
@@ -44,19 +44,19 @@
         }
     }
 
-    /** Rule 3: an attempt waits for its connection when its upstream begins to drain, is removed, moves or restarts. */
+    /** Rule 3: an attempt waits for its connection when its upstream drains, is removed, restarts or is put into maintenance. */
     @Test
-    void sendsNothingOnAConnectionEstablishedAfterADrain() throws Exception {
+    void sendsNothingOnAConnectionEstablishedAfterItsUpstreamBeganToDrain() throws Exception {
         for (String variant : new String[] {"terminating", "terminated", "missing", "restarted", "maintenance"}) {
             try (SocketRig rig = new SocketRig(2)) {
                 Socket client = rig.connectClient();
                 send(client, request("once", "c"));
                 rig.runUntil(() -> rig.upstreamSpies.size() == 1);
                 int first = rig.upstreams.get(0).acceptWithin(200) != null ? 0 : 1;
-                String left = rig.endpoint(1 - first, "in_service");
+                String remaining = rig.endpoint(1 - first, "in_service");
                 switch (variant) {
                     case "missing" ->
-                        rig.applyUpdate("{\"index\":42,\"endpoints\":[" + left + "]}", EndpointUpdate.Kind.SNAPSHOT);
+                        rig.applyUpdate("{\"index\":42,\"endpoints\":[" + remaining + "]}", EndpointUpdate.Kind.SNAPSHOT);
                     case "restarted" ->
                         rig.applyUpdate(
                                 "{\"index\":42,\"endpoints\":["
@@ -76,12 +76,12 @@
                         && rig.upstreamSpies.get(1).sentCount > 0
                         && (rig.upstreamSpies.get(0).channel != null || rig.upstreamSpies.get(0).closedCount > 0));
                 assertEquals(
-                        "", abandoned == null ? "" : readToEnd(abandoned), variant + ": no byte goes to the first");
+                        "", abandoned == null ? "" : readToEnd(abandoned), variant + ": no byte is sent to the first upstream");
             }
         }
     }
 
-    /** Rule 1: the event loop was late, and the connection is established after the call's deadline, before its timer has run. */
+    /** Rule 1: the event loop is late, and the connection is established after the call's deadline but before the timer runs. */
     @Test
     void sendsNothingOnAConnectionEstablishedAfterTheDeadline() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
--- a/balancer/src/test/java/gorsestack/proxy/ConnectionCloseOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ConnectionCloseOrderingTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Closes of client connections that cross requests and responses, on real connections, in the bad order every time. */
+/** Tests closes of client connections that coincide with requests and responses, on real connections, in the critical order each time. */
 @Timeout(60)
 class ConnectionCloseOrderingTest {
-    /** A request that the I/O thread has read before the event loop decides to close takes effect: nobody else would respond to it. */
+    /** A request that the I/O thread read before the event loop decided to close the idle connection gets its response. */
     @Test
     void respondsToARequestReadBeforeItsIdleConnectionCloses() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
@@ -44,9 +44,9 @@
         }
     }
 
-    /** The same request a moment later: its client sees the end of the stream, never a reset, and sends it again elsewhere. */
+    /** A request that arrives after the close is not forwarded. Its client sees the end of the stream, not a reset, and sends it again. */
     @Test
-    void forwardsNothingReceivedAfterTheConnectionWasShut() throws Exception {
+    void forwardsNothingReceivedAfterTheConnectionWasClosed() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectIdleClient();
             rig.clientConnections.get(0).closeIfIdle();
@@ -61,9 +61,12 @@
         }
     }
 
-    /** The same for every way in which idle connections are closed. */
+    /**
+     * A request that was read gets its response even if its idle connection is closed at shutdown ("leave"), by an evacuation ("away") or
+     * by the timeout for a first request ("never used").
+     */
     @Test
-    void closesNoConnectionWithARequestRead() throws Exception {
+    void respondsToARequestReadBeforeShutdownEvacuationOrFirstRequestTimeout() throws Exception {
         for (String variant : new String[] {"leave", "away", "never used"}) {
             try (SocketRig rig = new SocketRig(1)) {
                 Socket client = variant.equals("never used") ? rig.connectClient() : rig.connectIdleClient();
@@ -86,9 +89,9 @@
     }
 
     /**
-     * A large response breaks off before the I/O thread has written its beginning: what was received of it is written before the
-     * connection ends. Seen as lost requests (incident 0016): the end of a connection overtook everything that waited to be written on
-     * it.
+     * A large response breaks off before the I/O thread has written its beginning. The part that was received is written before the
+     * connection ends. Guards against lost requests (incident 0016): the end of a connection overtook the bytes that were queued to be
+     * written on it.
      */
     @Test
     void writesTheReceivedPartOfALargeResponseBeforeItsConnectionEnds() throws Exception {
@@ -107,21 +110,21 @@
                     upstream.close();
                 }
                 rig.awaitWithoutRunning(() -> !attempt.channel.open());
-                rig.awaitIoTurns();
+                rig.awaitIoIterations();
                 ThreadPause ioThread = rig.pauseInClose(rig.clientSpy(1));
                 rig.runUntil(() -> attempt.closedCount > 0);
                 ioThread.resume();
-                String seen = readToEnd(client);
-                assertTrue(seen.startsWith("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n"), variant + ": " + seen);
-                assertTrue(seen.length() < 100_000, "it does not look complete");
+                String received = readToEnd(client);
+                assertTrue(received.startsWith("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n"), variant + ": " + received);
+                assertTrue(received.length() < 100_000, "the response does not look complete");
             }
         }
     }
 
     /**
-     * A connection that was to be closed while idle, and on which a request had just arrived, stays open. Seen with the I/O thread held
-     * up: after the time for which an unread last response is waited for, the connection was closed during whatever response was being
-     * written then.
+     * A connection that was to be closed as idle, but on which a request had just arrived, stays open. Guards against a fault seen with a
+     * delayed I/O thread: once the timeout for reading the last response had passed, the connection was closed during the response that
+     * was then being written.
      */
     @Test
     void closesNoConnectionDuringALaterResponse() throws Exception {
@@ -135,27 +138,27 @@
             assertTrue(readMessage(client).startsWith("HTTP/1.1 404 "));
             rig.advance(rig.limits.upstream().streamStallTimeoutNanos() / SocketRig.MS - 1);
             send(client, unknownProduct("later"));
-            rig.awaitWithoutRunning(spy.channel::hasUnhandledInput); // not just any event: a watch has begun meanwhile
+            rig.awaitWithoutRunning(spy.channel::hasUnhandledInput); // not any queued task, as a watch has started meanwhile
             ThreadPause ioThread = rig.pauseIoThread();
             rig.runUntil(() -> spy.receivedCount == 3);
-            assertTrue(spy.channel.unsent() > 0, "its response is being written");
+            assertTrue(spy.channel.unsent() > 0, "the response is being written");
             rig.advance(2);
             ioThread.resume();
-            assertTrue(readMessage(client).startsWith("HTTP/1.1 404 "), "closed during its response");
+            assertTrue(readMessage(client).startsWith("HTTP/1.1 404 "), "the connection was closed during its response");
         }
     }
 
-    /** A client pipelines a request just as its last response is written: what was read has its response, then the connection ends. */
+    /** A client pipelines a request just as its last response is written. Requests that were read get responses before the close. */
     @Test
     void respondsToCallsPipelinedAsTheLastResponseIsSent() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectClient();
-            String none = unknownProduct("n");
-            send(client, none + none);
+            String unknownRequest = unknownProduct("n");
+            send(client, unknownRequest + unknownRequest);
             rig.runUntil(() -> rig.clientSpy(0).sentCount == 2);
-            send(client, none);
+            send(client, unknownRequest);
             rig.awaitWithoutRunning(rig.clientSpy(0).channel::hasUnhandledInput);
-            ThreadPause ioThread = rig.pauseInRead(client, none);
+            ThreadPause ioThread = rig.pauseInRead(client, unknownRequest);
             rig.dispatcher.clients().closeAll();
             rig.runUntil(() -> rig.clientSpy(0).channel.unsent() > 0);
             ioThread.resume();
@@ -169,41 +172,38 @@
     }
 
     /**
-     * A close with unread input resets the connection and, on some systems, discards the last response. The JDK ends the stream before
-     * it closes, so the response itself is seen here either way; what the client still writes is not.
+     * A close with unread input resets the connection and, on some systems, discards the last response. As the JDK ends the stream before
+     * it closes, this test would see the response in any case; so it checks that what the client still writes causes no reset.
      */
     @Test
-    void letsAClientReadItsLastResponseWhateverItStillSends() throws Exception {
+    void doesNotResetAClientThatStillSendsAfterItsLastResponse() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectClient();
             send(client, "GET /nothing HTTP/1.1\r\nX-Correlation-Id: c\r\nConnection: close\r\n\r\n");
             rig.awaitQueuedTask();
             rig.clientSpy(0).channel.suspendReading(true);
-            rig.awaitIoTurns();
-            send(client, "y".repeat(30_000)); // stays unread until the connection closes
+            rig.awaitIoIterations();
+            send(client, "y".repeat(30_000)); // remains unread until the connection closes
             rig.runUntil(() -> rig.clientSpy(0).closedCount > 0);
-            String all = readToEnd(client);
-            assertTrue(all.startsWith("HTTP/1.1 4"), all);
-            assertFalse(all.endsWith("<reset>"), all);
+            String output = readToEnd(client);
+            assertTrue(output.startsWith("HTTP/1.1 4"), output);
+            assertFalse(output.endsWith("<reset>"), output);
             for (int i = 0; i < 3; i++) {
-                send(client, "z".repeat(5_000)); // not reset: it is read and discarded, up to a bound
-                rig.awaitIoTurns();
+                send(client, "z".repeat(5_000)); // causes no reset: the input is read and discarded, up to a limit
+                rig.awaitIoIterations();
             }
         }
     }
 
-    /**
-     * Danger: 60 MB at full speed, behind an error or ahead of a response; only a little of it is read, and then the connection is cut
-     * off.
-     */
+    /** A client sends 60 MB at full speed, after an error or before a response. Only a little is read before the connection is closed. */
     @Test
-    void boundsTheInputItDiscards() throws Exception {
-        for (boolean ahead : new boolean[] {false, true}) {
+    void limitsTheInputThatIsDiscarded() throws Exception {
+        for (boolean beforeResponse : new boolean[] {false, true}) {
             try (SocketRig rig = new SocketRig(1)) {
                 Socket client = rig.connectClient();
-                send(client, ahead ? request("once", "c") : "NONSENSE\r\n\r\n");
+                send(client, beforeResponse ? request("once", "c") : "NONSENSE\r\n\r\n");
                 rig.runUntil(() -> rig.clientSpy(0).receivedCount > 0);
-                AtomicInteger cutOff = new AtomicInteger();
+                AtomicInteger writeFailures = new AtomicInteger();
                 Thread flood = new Thread(() -> {
                     try {
                         client.getOutputStream()
@@ -211,7 +211,7 @@
                                         .repeat(60_000_000 / 60)
                                         .getBytes(StandardCharsets.US_ASCII));
                     } catch (IOException e) {
-                        cutOff.incrementAndGet();
+                        writeFailures.incrementAndGet();
                     }
                 });
                 flood.start();
@@ -221,24 +221,22 @@
                     rig.runPending();
                     flood.join(1);
                 }
-                assertEquals(1, cutOff.get());
+                assertEquals(1, writeFailures.get());
             }
         }
     }
 
-    /** Whether bytes stay unsent over many turns of the I/O thread: the system accepts no more of them. */
+    /** Returns whether bytes remain unsent over many iterations of the I/O thread, as the system accepts no more of them. */
     private static boolean writesStall(SocketRig rig) throws Exception {
         for (int i = 0; i < 20 && rig.clientSpy(0).channel.unsent() > 0; i++) {
-            rig.awaitIoTurns();
+            rig.awaitIoIterations();
         }
         return rig.clientSpy(0).channel.unsent() > 0;
     }
 
-    /**
-     * Danger: a client that never reads its response is idle between calls; closed in order only, it would keep its connection for good.
-     */
+    /** A client that never reads its responses is idle between calls. An orderly close alone would leave its connection open forever. */
     @Test
-    void closesAClientThatNeverReadsItsResponse() throws Exception {
+    void closesTheConnectionOfAClientThatNeverReadsItsResponses() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = new Socket();
             client.setReceiveBufferSize(4 << 10);
--- a/balancer/src/test/java/gorsestack/proxy/DispatcherRig.java
+++ b/balancer/src/test/java/gorsestack/proxy/DispatcherRig.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** A balancer on fake sockets and a clock that the test advances; the test plays clients, upstreams and discovery. */
+/** A balancer on fake sockets and a clock that the test advances. The test acts as clients, upstreams and discovery. */
 final class DispatcherRig extends StubNetwork {
     static final long MS = 1_000_000;
     static final InetSocketAddress DISCOVERY = WatchEvent.address("127.0.0.1:8500");
@@ -37,9 +37,9 @@
 
     final ManualEventLoop eventLoop = new ManualEventLoop(START_MILLIS);
     final CallDispatcher dispatcher;
-    /** All connections that the balancer has begun, to upstreams and to discovery. */
+    /** All connections that the balancer has opened to upstreams and to discovery, in order. */
     final List<FakeSocket> connections = new ArrayList<>();
-    /** Whether a connection is established as soon as it is begun. */
+    /** Whether a connection is established as soon as the balancer opens it. */
     boolean connectsAtOnce = true;
 
     private final Supplier<ConnectionHandler> clientHandlers;
@@ -57,7 +57,7 @@
         dispatcher.acceptCalls();
     }
 
-    /** A balancer with so many upstreams in service, named s1, s2 and so on. */
+    /** Returns a balancer with {@code count} upstreams in service, named s1, s2 and so on. */
     static DispatcherRig withUpstreams(int count) throws IOException {
         String[] endpoints = new String[count];
         for (int i = 0; i < count; i++) {
@@ -66,7 +66,7 @@
         return new DispatcherRig("{\"sockets\":1024}", endpoints);
     }
 
-    /** The same with its watch of the endpoint list established. */
+    /** Returns a balancer with that many upstreams and an established watch of the endpoint list. */
     static DispatcherRig withWatch(int upstreams) throws IOException {
         DispatcherRig rig = withUpstreams(upstreams);
         rig.advance(2_100);
@@ -76,13 +76,13 @@
         return rig;
     }
 
-    /** An entry of the endpoint list. */
+    /** Returns an entry of the endpoint list. */
     static String endpoint(int number, String status) {
         return "{\"name\":\"s" + number + "\",\"address\":\"127.0.1." + number + ":80\",\"zone\":\"a\",\"status\":\""
                 + status + "\"}";
     }
 
-    /** Asserts that exactly one response, with this status, was written to the client, and takes it. */
+    /** Asserts that exactly one response, with this status, was written to the client, and removes it from the output. */
     static void expectResponse(int status, FakeSocket client) {
         assertTrue(client.output.startsWith("HTTP/1.1 " + status + " "), client.output);
         assertEquals(client.output.lastIndexOf("HTTP/1.1 "), 0, client.output);
@@ -122,24 +122,24 @@
         return socket;
     }
 
-    /** Notes that a connection was begun or written to. */
+    /** Records that a connection was opened or written to. */
     void recordUse(FakeSocket socket) {
         if (socket.toUpstream()) {
             lastUsed = socket;
         }
     }
 
-    /** The connections begun to upstreams. */
+    /** Returns the connections that were opened to upstreams, in order. */
     List<FakeSocket> upstreamConnections() {
         return connections.stream().filter(FakeSocket::toUpstream).toList();
     }
 
-    /** The upstream connection that was begun or written to last. */
+    /** Returns the upstream connection that was opened or written to last. */
     FakeSocket lastUsed() {
         return lastUsed;
     }
 
-    /** The newest connection to a port. */
+    /** Returns the newest connection to a port. */
     FakeSocket lastTo(int port) {
         List<FakeSocket> matching = connections.stream()
                 .filter(socket -> socket.remoteAddress.getPort() == port)
@@ -147,7 +147,7 @@
         return matching.get(matching.size() - 1);
     }
 
-    /** The newest connection to discovery, or null if there is none. */
+    /** Returns the newest connection to discovery, or null if there is none. */
     FakeSocket watch() {
         List<FakeSocket> watches = connections.stream()
                 .filter(socket -> socket.remoteAddress.equals(DISCOVERY))
--- a/balancer/src/test/java/gorsestack/proxy/EndpointCacheTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/EndpointCacheTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The cached list is complete, and is restored as it was. */
+/** Tests that the cached list is complete and is restored unchanged. */
 class EndpointCacheTest {
     private static final InetSocketAddress DISCOVERY = WatchEvent.address("127.0.0.1:8500");
     private static final InetSocketAddress ADDRESS = WatchEvent.address("127.0.1.1:80");
@@ -33,14 +33,14 @@
     }
 
     @Test
-    void aListThatWasNeverConfirmedIsNotPersisted() {
+    void doesNotPersistAListThatWasNeverConfirmed() {
         assertNull(cache.snapshot(DISCOVERY, 0));
         assertEquals(
                 new PersistentState.EndpointSnapshot(0, "127.0.0.1:8500", 9, List.of()), cache.snapshot(DISCOVERY, 9));
     }
 
     @Test
-    void aDrainingUpstreamKeepsTheAddressItHad() {
+    void keepsTheAddressOfAnUpstreamThatDrains() {
         update(EndpointUpdate.Kind.SNAPSHOT, Map.of("s1", ADDRESS), endpoint("s1", EndpointState.READY));
         update(
                 EndpointUpdate.Kind.DELTA,
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void removedUpstreamsAndThoseThatACompleteListOmitsAreForgotten() {
+    void dropsRemovedUpstreamsAndThoseMissingFromACompleteList() {
         update(
                 EndpointUpdate.Kind.SNAPSHOT,
                 Map.of(),
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aPersistedListIsRestoredAsACachedOne() {
+    void restoresAPersistedListAsACachedList() {
         Endpoint ready = endpoint("s1", EndpointState.READY);
         Endpoint draining = endpoint("s2", EndpointState.DRAINING);
         Endpoint unreachable = endpoint("s3", EndpointState.READY);
@@ -78,7 +78,7 @@
         WatchEvent restored = EndpointCache.watchEvent(cache.snapshot(DISCOVERY, 9));
         assertEquals(41, restored.index());
         assertEquals(EndpointUpdate.Kind.CACHED, restored.update().kind());
-        assertEquals(List.of(ready, draining), restored.update().endpoints(), "a ready one needs an address");
+        assertEquals(List.of(ready, draining), restored.update().endpoints(), "a ready upstream without an address is not restored");
         assertEquals(Map.of("s1", ADDRESS), restored.addresses());
     }
 }
--- a/balancer/src/test/java/gorsestack/proxy/EndpointListOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/EndpointListOrderingTest.java
@@ -20,12 +20,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Changes of the endpoint list that cross calls and losses of the watch, on real connections. */
+/** Tests changes of the endpoint list that coincide with calls and with losses of the watch, on real connections. */
 @Timeout(60)
 class EndpointListOrderingTest {
-    /** A pushed list counts as notified from the first moment: the watch is opened in that moment. */
+    /** If lists are pushed, a change counts as notified from the start of the process, so the watch is opened at once. */
     @Test
-    void opensItsWatchAtOnceWhereListsArePushed() throws Exception {
+    void opensTheWatchAtOnceIfListsArePushed() throws Exception {
         for (String mode : new String[] {"automatic", "subscribe"}) {
             try (SocketRig rig = new SocketRig(1, SocketRig.SETTINGS.replace("\"subscribe\"", "\"" + mode + "\""))) {
                 rig.runPending();
@@ -47,11 +47,9 @@
         rig.runUntil(() -> rig.dispatcher.recovery().listIndex() == index);
     }
 
-    /**
-     * Rule 3: the watch is reset right before a drain is published; the next watch carries it, and nothing new is sent to that upstream.
-     */
+    /** Rule 3: the watch is reset just before a drain is published. The next watch delivers it, and that upstream is sent nothing new. */
     @Test
-    void learnsOfADrainPublishedRightAfterItsWatchWasReset() throws Exception {
+    void appliesADrainPublishedRightAfterTheWatchWasReset() throws Exception {
         try (SocketRig rig = new SocketRig(2)) {
             Socket watch = rig.acceptWatch();
             sendList(
@@ -63,11 +61,11 @@
             int before = rig.watchSpies.size();
             reset(watch);
             rig.runUntil(() -> rig.watchSpies.get(before - 1).closedCount > 0);
-            long since = rig.now();
+            long startedAt = rig.now();
             rig.advanceUntil(() -> rig.watchSpies.size() > before);
             assertTrue(
-                    rig.now() - since <= rig.limits.discovery().reconnectJitterNanos(),
-                    "reopened within half a second");
+                    rig.now() - startedAt <= rig.limits.discovery().reconnectJitterNanos(),
+                    "the watch is reopened within half a second");
             rig.runUntil(() -> rig.watchSpies.get(before).sentCount > 0);
             Socket next = rig.discovery.accept();
             assertTrue(readMessage(next).startsWith("GET /catalog/members?watch=1&after=50 "));
@@ -89,13 +87,13 @@
                 send(upstream, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx");
                 rig.runUntil(() -> spy.sentCount == 1);
             }
-            assertNull(rig.upstreams.get(0).acceptWithin(20), "nothing new to a draining upstream");
+            assertNull(rig.upstreams.get(0).acceptWithin(20), "a draining upstream is sent nothing new");
         }
     }
 
-    /** A list without an upstream: an attempt in flight there goes on to its response, and its connection is not reused. */
+    /** A complete list omits an upstream: an attempt in flight there still gets its response, and its connection is not reused. */
     @Test
-    void letsAnAttemptFinishAtAnUpstreamMissingFromTheList() throws Exception {
+    void completesAnAttemptAtAnUpstreamMissingFromTheList() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectClient();
             send(client, request("once", "c"));
@@ -111,11 +109,11 @@
     }
 
     /**
-     * An upstream was removed and added again between two updates: one message carries both, in their order, and the later one counts.
-     * Found by the soak test (incident 0017): the upstream was ready without an address, and no attempt could be sent to it any more.
+     * An upstream was removed and added again between two updates. One message has both entries in order, and the later one counts. Guards
+     * against a fault that the soak test found (incident 0017): the upstream was ready without an address, so no attempt could reach it.
      */
     @Test
-    void reachesAnUpstreamRemovedAndReaddedInOneMessage() throws Exception {
+    void sendsCallsToAnUpstreamRemovedAndAddedAgainInOneMessage() throws Exception {
         for (EndpointUpdate.Kind kind :
                 new EndpointUpdate.Kind[] {EndpointUpdate.Kind.DELTA, EndpointUpdate.Kind.SNAPSHOT}) {
             try (SocketRig rig = new SocketRig(1)) {
@@ -137,14 +135,12 @@
                         EndpointUpdate.Kind.DELTA);
                 send(client, request("once", "gone"));
                 rig.runUntil(() -> rig.clientSpy(0).sentCount == 2);
-                assertTrue(readMessage(client).startsWith("HTTP/1.1 429 "), "the later one counts");
+                assertTrue(readMessage(client).startsWith("HTTP/1.1 429 "), "the later entry counts");
             }
         }
     }
 
-    /**
-     * Idle clients hold all connections that clients may have, and discovery is down; its return is still noticed within the bound.
-     */
+    /** Idle clients hold all client connections while discovery is down. The balancer still reconnects within the maximum retry delay. */
     @Test
     void reconnectsToDiscoveryWithAllClientConnectionsInUse() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
@@ -165,10 +161,10 @@
                 restarted.bind(address);
                 restarted.setSoTimeout(SocketRig.TIMEOUT_MILLIS);
                 int refused = rig.watchSpies.size();
-                long since = rig.now();
+                long startedAt = rig.now();
                 rig.advanceUntil(() -> rig.watchSpies.size() > refused);
                 assertTrue(
-                        rig.now() - since <= rig.limits.discovery().maxRetryDelayNanos(), "retried within its bound");
+                        rig.now() - startedAt <= rig.limits.discovery().maxRetryDelayNanos(), "retried within the maximum delay");
                 rig.runUntil(() -> rig.watchSpies.get(refused).sentCount > 0);
                 Socket accepted = restarted.accept();
                 assertTrue(readMessage(accepted).startsWith("GET /catalog/members?watch=1"));
--- a/balancer/src/test/java/gorsestack/proxy/EndpointWatchTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/EndpointWatchTest.java
@@ -13,11 +13,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The watch of the endpoint list and what follows from its changes. */
+/** Tests the watch of the endpoint list and the effect of changes to the list. */
 class EndpointWatchTest {
-    /** Rule 3: a balancer has to learn of a drain; a watch on a severed connection stays silent for ever. */
+    /** Rule 3: a balancer must be notified of a drain, but a watch on a broken connection stays silent forever. */
     @Test
-    void reopensAWatchThatFellSilent() throws IOException {
+    void reopensAWatchThatHasBecomeSilent() throws IOException {
         DispatcherRig rig = DispatcherRig.withWatch(1);
         FakeSocket first = rig.watch();
         rig.sendWatchLine("{\"index\":43,\"snapshot\":false,\"endpoints\":[]}");
@@ -32,10 +32,13 @@
         rig.advance(1_000);
         FakeSocket failed = rig.watch();
         rig.advance(7_000);
-        assertTrue(rig.watch() != failed, "reopened when the retry is due");
+        assertTrue(rig.watch() != failed, "the watch is reopened when the retry is due");
     }
 
-    /** Rule 3: a watch request without any response is not a refusal; what it misses counts as notified 6 s after it fell silent. */
+    /**
+     * Rule 3: a watch request without a response is not a refusal. A change that the watch misses counts as notified 6 s after it became
+     * silent.
+     */
     @Test
     void reopensAWatchWhoseRequestGetsNoResponse() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
@@ -89,9 +92,9 @@
         }
     }
 
-    /** Danger: SIGHUP configures another discovery address; its index counts another list, and the old watch ends soon. */
+    /** After SIGHUP sets another discovery address, the index counts versions of another list, and the old watch ends soon. */
     @Test
-    void followsANewDiscoveryAddressOnceItHasSentAList() throws IOException {
+    void switchesToANewDiscoveryAddressOnceItHasSentAList() throws IOException {
         DispatcherRig rig = DispatcherRig.withWatch(2);
         FakeSocket old = rig.watch();
         rig.dispatcher.moveToDiscovery(WatchEvent.address("127.0.0.1:8501"));
@@ -102,10 +105,10 @@
         old.queueDisconnect();
         rig.advance(600);
         FakeSocket silent = rig.lastTo(8501);
-        assertTrue(silent != refused, "reopened soon, though it has sent nothing");
+        assertTrue(silent != refused, "the watch is reopened soon, although the new address has sent nothing");
         rig.advance(1_900);
         FakeSocket next = rig.lastTo(8501);
-        assertTrue(next != silent && !silent.open(), "a silent watch is abandoned in time for another");
+        assertTrue(next != silent && !silent.open(), "a silent watch is replaced in time");
         assertEquals(
                 1,
                 rig.connections.stream()
@@ -124,9 +127,9 @@
         assertTrue(rig.lastTo(8501).output.contains("after=3 "), rig.lastTo(8501).output);
     }
 
-    /** Danger: a new upstream at the address of a removed one inherits neither its connections nor its history. */
+    /** Prevents a new upstream at the address of a removed one from inheriting its connections or its history. */
     @Test
-    void forgetsARemovedUpstream() throws IOException {
+    void dropsConnectionsAndHistoryOfARemovedUpstream() throws IOException {
         DispatcherRig rig = DispatcherRig.withWatch(1);
         FakeSocket client = rig.client();
         client.send(request("once", "c"));
@@ -135,7 +138,7 @@
                 + endpoint(1, "in_service").replace("\"s1\"", "\"t1\"") + "]}");
         old.sendOk("c");
         expectResponse(200, client);
-        assertFalse(old.open(), "it is not reused");
+        assertFalse(old.open(), "the connection is not reused");
         rig.advance(50);
         client.send(request("once", "d"));
         assertTrue(rig.lastUsed() != old && rig.lastUsed().remoteAddress.equals(old.remoteAddress));
--- a/balancer/src/test/java/gorsestack/proxy/FakeSocket.java
+++ b/balancer/src/test/java/gorsestack/proxy/FakeSocket.java
@@ -5,12 +5,12 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 
-/** One end of a connection of the balancer under test, with the test playing the peer. */
+/** The balancer's end of a connection, with the test acting as the peer. */
 final class FakeSocket extends FakeChannel {
     private final DispatcherRig rig;
-    /** Where the balancer connects to; null for a connection that was accepted. */
+    /** The address to which the balancer connects; null for an accepted connection. */
     final InetSocketAddress remoteAddress;
-    /** What the balancer has written and the test has not taken yet. */
+    /** The text that the balancer has written and the test has not taken yet. */
     String output = "";
 
     boolean connected;
@@ -66,11 +66,11 @@
     }
 
     @Override
-    public void suspendReading(boolean stop) {
-        readsPaused = stop;
+    public void suspendReading(boolean suspended) {
+        readsPaused = suspended;
     }
 
-    /** Whether this connects to an upstream: neither accepted from a client nor to discovery. */
+    /** Returns whether this is a connection to an upstream, neither accepted from a client nor opened to discovery. */
     boolean toUpstream() {
         return remoteAddress != null && remoteAddress.getPort() < DispatcherRig.DISCOVERY.getPort();
     }
@@ -82,7 +82,7 @@
         eventLoop.execute(() -> handler.opened(this));
     }
 
-    /** Establishes the connection and lets the handler act on it. */
+    /** Establishes the connection and runs the event loop's pending tasks. */
     void connect() {
         queueConnect();
         rig.runPending();
@@ -94,7 +94,7 @@
         eventLoop.execute(handler::closed);
     }
 
-    /** Sends text to the balancer and lets it act on it. */
+    /** Sends text to the balancer and runs the event loop's pending tasks. */
     void send(String text) {
         queueInput(text);
         rig.runPending();
--- a/balancer/src/test/java/gorsestack/proxy/HandlerSpy.java
+++ b/balancer/src/test/java/gorsestack/proxy/HandlerSpy.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Passes events on to a handler, counts them, and withholds them on request. */
+/** Passes the events of a connection to its handler, counts them, and withholds them if the test requests it. */
 final class HandlerSpy implements ConnectionHandler {
-    /** Where the connection goes to; null for one that was accepted. */
+    /** The address to which the connection was opened; null for an accepted connection. */
     final InetSocketAddress remoteAddress;
 
     Channel channel;
@@ -16,7 +16,7 @@
     int sentCount;
     int closedCount;
     private final ConnectionHandler handler;
-    /** Events that the event loop has run and the handler has not received; null where none are withheld. */
+    /** The events that the event loop has delivered and the handler has not received; null while events are not withheld. */
     private List<Runnable> withheld;
 
     HandlerSpy(ConnectionHandler handler, InetSocketAddress remoteAddress) {
@@ -31,9 +31,9 @@
     }
 
     @Override
-    public void received(byte[] bytes, long at) {
+    public void received(byte[] bytes, long receivedAt) {
         receivedCount++;
-        passOn(() -> handler.received(bytes, at));
+        passOn(() -> handler.received(bytes, receivedAt));
     }
 
     @Override
@@ -61,12 +61,12 @@
         }
     }
 
-    /** Withholds events until release(), so that those of two connections can be handled in either order. */
+    /** Withholds events until {@link #release()}, so that those of two connections can be handled in either order. */
     void withhold() {
         withheld = new ArrayList<>();
     }
 
-    /** Passes on what was withheld, and all that follows. */
+    /** Passes the withheld events to the handler, and all later ones without delay. */
     void release() {
         List<Runnable> events = withheld;
         withheld = null;
--- a/balancer/src/test/java/gorsestack/proxy/HedgeOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/HedgeOrderingTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Hedges and retries that cross the repeat window and other responses, on real connections. */
+/** Tests hedged requests and retries that coincide with the end of the repeat window and with responses, on real connections. */
 @Timeout(60)
 class HedgeOrderingTest {
-    /** Completes enough calls to earn the budget of a hedge: three for a hundred. */
+    /** Completes enough calls to earn the budget of one hedged request; a hundred calls earn three. */
     private static void earnHedgeBudget(SocketRig rig) throws Exception {
         for (int i = 0; i < 40; i++) {
             Socket client = rig.connectClient();
@@ -35,15 +35,15 @@
             rig.runUntil(() -> rig.clientSpy(clientNumber).sentCount > 0);
             readMessage(client);
             client.close();
-            // Danger: a test would take a later end for the one that it waits for itself.
+            // Without this wait, a test could mistake the end of this connection for the one that it waits for.
             rig.runUntil(() -> rig.clientSpy(clientNumber).closedCount > 0
                     && rig.upstreamSpies.get(connectionsBefore).closedCount > 0);
         }
     }
 
-    /** Rule 2: a hedge waits for its connection as the repeat window ends. */
+    /** Rule 2: a hedged request waits for its connection when the repeat window ends. */
     @Test
-    void sendsNoHedgeOnAConnectionEstablishedAfterTheRepeatWindow() throws Exception {
+    void sendsNoHedgedRequestOnAConnectionEstablishedAfterTheRepeatWindow() throws Exception {
         String settings = SocketRig.SETTINGS.replace("\"repeatWindow\":5000", "\"repeatWindow\":700");
         try (SocketRig rig = new SocketRig(2, settings)) {
             earnHedgeBudget(rig);
@@ -51,8 +51,8 @@
             send(client, request("mark", "c"));
             int before = rig.upstreamSpies.size();
             rig.runUntilRequestSent(before);
-            // The first attempt may have been executed. Its hedge begins after the hedging delay of 600 ms, and the
-            // connection of the hedge is established too late.
+            // The first attempt may have been executed. The hedged request starts after the hedging delay of 600 ms, and
+            // its connection is established too late.
             rig.withholdsConnects = true;
             rig.advanceUntil(() -> rig.upstreamSpies.size() == before + 2);
             HandlerSpy hedge = rig.upstreamSpies.get(before + 1);
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Rule 2: a window shorter than the hedging delay allows no hedge, and a reset long after the request no retry. */
+    /** Rule 2: a repeat window shorter than the hedging delay allows no hedged request, and a reset after the window allows no retry. */
     @Test
     void sendsNothingMoreAfterTheRepeatWindow() throws Exception {
         String settings = SocketRig.SETTINGS.replace("\"repeatWindow\":5000", "\"repeatWindow\":500");
@@ -78,7 +78,7 @@
             send(client, request("mark", "c"));
             rig.runUntilRequestSent(before);
             rig.advance(1_000);
-            assertEquals(before + 1, rig.upstreamSpies.size(), "a hedge was begun");
+            assertEquals(before + 1, rig.upstreamSpies.size(), "no hedged request is started");
             Socket upstream = null;
             while (upstream == null) {
                 upstream = rig.upstreams.get(0).acceptWithin(20);
@@ -87,19 +87,19 @@
             reset(upstream);
             rig.runUntil(() -> spy.sentCount == 1);
             rig.advance(1_500);
-            assertEquals(before + 1, rig.upstreamSpies.size(), "another attempt was begun");
+            assertEquals(before + 1, rig.upstreamSpies.size(), "no other attempt is started");
             assertTrue(
                     readMessage(client).startsWith("HTTP/1.1 502 "),
-                    "it may have been executed, and a retry would not be harmless");
+                    "the call may have been executed, so a retry would not be harmless");
         }
     }
 
     /**
-     * Both attempts' responses have arrived, in either order: the client gets the first, and neither connection's bytes reach another
-     * call.
+     * The responses of both attempts have arrived, in either order. The client gets the first one, and no bytes of either connection reach
+     * another call.
      */
     @Test
-    void sendsOneResponseWhereTwoSuccessesCross() throws Exception {
+    void sendsOneResponseIfBothAttemptsSucceed() throws Exception {
         for (int first = 0; first < 2; first++) {
             try (SocketRig rig = new SocketRig(2)) {
                 earnHedgeBudget(rig);
@@ -131,7 +131,7 @@
                 assertEquals(1, spy.sentCount);
                 send(client, unknownProduct("n"));
                 rig.runUntil(() -> spy.sentCount == 2);
-                assertTrue(readMessage(client).startsWith("HTTP/1.1 404 "), "nothing came in between");
+                assertTrue(readMessage(client).startsWith("HTTP/1.1 404 "), "no other bytes were sent in between");
             }
         }
     }
--- a/balancer/src/test/java/gorsestack/proxy/HttpExchangeFormatTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/HttpExchangeFormatTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Messages sent upstream and to the client, and the status, of a balancer on loopback whose clock the test advances. */
+/** Compares messages to upstreams and clients, and the status document, with stored forms; the test advances the balancer's clock. */
 @Timeout(60)
 class HttpExchangeFormatTest {
     private static final Fixture EXCHANGES = new Fixture("http-exchanges.txt");
@@ -20,7 +20,7 @@
         return "== " + title + "\n" + message.replace("\r", "\\r") + "\n";
     }
 
-    /** One call over a client connection and an upstream connection of its own. */
+    /** Returns the messages of one call on a new client connection and a new upstream connection. */
     private static String exchange(String request, String response) throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectClient();
@@ -37,7 +37,7 @@
         }
     }
 
-    /** A request that the balancer rejects by itself. */
+    /** Returns the messages of a request that the balancer rejects without an attempt. */
     private static String rejection(String request) throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectClient();
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void forwardsAndResponds() throws Exception {
+    void messagesMatchTheirStoredForms() throws Exception {
         String withHeaders =
                 "HTTP/1.1 200 OK\r\nX-Other: a, b\r\nContent-Type: text/html\r\n" + "Content-Length: 4\r\n\r\nbody";
         EXCHANGES.assertSame(exchange(request("read", "c1"), ok("1"))
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void reportsItsStatus() throws Exception {
+    void statusDocumentMatchesItsStoredForm() throws Exception {
         try (SocketRig rig = new SocketRig(2)) {
             rig.connectClient();
             int port = rig.discovery.listener.getLocalPort();
--- a/balancer/src/test/java/gorsestack/proxy/LargeBodyTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/LargeBodyTest.java
@@ -10,17 +10,17 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** Request and response bodies that are streamed, and the bounds of what is buffered. */
+/** Tests the streaming of request and response bodies, and the limits of what is buffered. */
 class LargeBodyTest {
-    /** The head of a request with a body of this length, and the first bytes of that body. */
+    /** Returns the head of a request with a body of {@code length} bytes, and the first bytes of the body. */
     private static String largeRequest(String id, int length, int firstBytes) {
         return request("once", id).replace("Length: 2\r\n\r\nhi", "Length: " + length + "\r\n\r\n")
                 + "x".repeat(firstBytes);
     }
 
-    /** Danger: many unconsumed bodies, each within its own limit, together exceed the heap. */
+    /** Prevents many unconsumed bodies, each within its own limit, from exceeding the heap together. */
     @Test
-    void boundsReadAheadOverManyUnconsumedBodies() throws IOException {
+    void limitsReadAheadOverManyUnconsumedBodies() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
         rig.connectsAtOnce = false;
         int readAheadBytes = 0;
@@ -32,24 +32,24 @@
                 readAheadBytes += 16_000;
             }
         }
-        assertTrue(readAheadBytes > 2 << 20, "some are read completely: " + readAheadBytes);
-        // Half of the shared budget, one body over it, and for each of the others its own minimum and one read more.
+        assertTrue(readAheadBytes > 2 << 20, "some bodies are read completely: " + readAheadBytes);
+        // Half of the shared budget, one body that exceeds it, and for each other body its minimum and one more read.
         int limit = (3 << 20) + (1 << 20) + 36 * ((64 << 10) + 16_000);
         assertTrue(readAheadBytes <= limit, readAheadBytes + " of " + limit);
     }
 
-    /** Dangers: a body larger than the heap; an upstream slower than the client; a retry with a body that is no longer buffered. */
+    /** Covers a body larger than the heap, an upstream slower than the client, and a retry whose body is no longer buffered. */
     @Test
     void streamsALargeRequestBody() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
         rig.connectsAtOnce = false;
         FakeSocket client = rig.client();
         client.send(largeRequest("c1", 1_530_000, 70_000));
-        assertFalse(client.readsPaused, "its disconnect is seen until the buffer is full");
+        assertFalse(client.readsPaused, "reading continues until the buffer is full, so a disconnect is detected");
         client.send("x".repeat(970_000));
         assertFalse(client.readsPaused);
         client.send("x".repeat(300_000));
-        assertTrue(client.readsPaused, "nothing more is read until it is consumed");
+        assertTrue(client.readsPaused, "nothing more is read until the body is consumed");
         rig.upstreamConnections().get(0).queueDisconnect();
         rig.runPending();
         FakeSocket retry = rig.lastUsed();
@@ -74,7 +74,7 @@
         assertFalse(client.readsPaused);
         assertEquals(before + 70_000, retry.output.length());
         for (int i = 0; i < 6; i++) {
-            rig.advance(1_000); // longer than the client timeout, and progressing
+            rig.advance(1_000); // longer than the client timeout, but the body makes progress
             client.send("x".repeat(15_000));
         }
         assertTrue(retry.output.endsWith("x".repeat(1_530_000)));
@@ -89,24 +89,24 @@
         rig.lastUsed().queueDisconnect();
         rig.runPending();
         assertEquals(connectionsBefore, rig.upstreamConnections().size());
-        expectResponse(429, client); // incomplete, so not executed; no longer buffered, so no retry
+        expectResponse(429, client); // not executed, as it is incomplete; no retry, as it is no longer buffered
         client.send("x".repeat(100_000));
         rig.advance(500);
         assertFalse(client.open());
     }
 
     @Test
-    void timesOutALargeBodyThatStallsPartway() throws IOException {
+    void timesOutALargeRequestBodyThatStalls() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
         FakeSocket slowClient = rig.client();
         slowClient.send(largeRequest("c3", 200_000, 80_000));
         FakeSocket partial = rig.lastUsed();
         rig.advance(2_000);
         expectResponse(408, slowClient);
-        assertFalse(partial.open(), "no partial request is left open at the upstream");
+        assertFalse(partial.open(), "no incomplete request stays open at the upstream");
     }
 
-    /** Dangers: a response larger than the heap; a client slower than the upstream; a truncated response taken for a complete one. */
+    /** Covers a response larger than the heap, a client slower than the upstream, and a truncated response that must not look complete. */
     @Test
     void streamsALargeResponse() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
@@ -125,7 +125,7 @@
         rig.execute(client.handler()::sent);
         rig.runPending();
         assertFalse(upstream.readsPaused);
-        rig.advance(2_000); // slow, beyond the deadline
+        rig.advance(2_000); // a slow response, beyond the deadline
         upstream.send("y".repeat(290_000));
         assertTrue(client.output.endsWith("\r\n\r\n" + "y".repeat(400_000)));
         expectResponse(200, client);
@@ -139,10 +139,10 @@
         upstream.queueDisconnect();
         rig.runPending();
         assertFalse(client.open());
-        assertFalse(client.output.endsWith("0\r\n\r\n"), "the client can tell that it is incomplete");
+        assertFalse(client.output.endsWith("0\r\n\r\n"), "the response does not look complete to the client");
     }
 
-    /** A response without a length or chunks ends with its connection; the client is sent it in chunks. */
+    /** A response without a length or chunks ends with its connection; it is forwarded to the client in chunks. */
     @Test
     void streamsALargeResponseThatEndsWithItsConnection() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
@@ -153,10 +153,10 @@
         rig.execute(handler::ended);
         rig.lastUsed().queueDisconnect();
         rig.runPending();
-        assertTrue(client.output.endsWith("zz\r\n0\r\n\r\n"), "some responses end with their connection");
+        assertTrue(client.output.endsWith("zz\r\n0\r\n\r\n"), "the end of the connection completes the response");
     }
 
-    /** Guards against a response that is forwarded in part and breaks off, though another upstream could have served the call. */
+    /** Prevents a response from being forwarded in part before it breaks off, when another upstream could have served the call. */
     @Test
     void buffersAMediumResponseUntilItIsComplete() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
@@ -173,7 +173,7 @@
         assertEquals("", client.output, "nothing is forwarded before it is complete");
         broken.queueDisconnect();
         rig.runPending();
-        assertTrue(rig.lastUsed() != broken, "it is retried elsewhere");
+        assertTrue(rig.lastUsed() != broken, "the call is retried elsewhere");
         rig.lastUsed().send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "z".repeat(200_000));
         assertTrue(client.output.endsWith("\r\n\r\n" + "z".repeat(200_000)));
         expectResponse(200, client);
--- a/balancer/src/test/java/gorsestack/proxy/MaintenanceTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/MaintenanceTest.java
@@ -11,9 +11,9 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** Operator commands, and the invariant on closing connections. */
+/** Tests operator commands, and the invariant on closing connections. */
 class MaintenanceTest {
-    /** Dangers: pooled connections to an upstream in maintenance; clients that are being sent away and send nothing more. */
+    /** Covers pooled connections to an upstream in maintenance, and clients that send nothing more during an evacuation. */
     @Test
     void appliesOperatorCommands() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
@@ -38,17 +38,17 @@
         FakeSocket idle = rig.client();
         idle.send("GET /_health HTTP/1.1\r\n\r\n");
         assertTrue(idle.output.startsWith("HTTP/1.1 503 ") && idle.output.contains("Connection: close"), idle.output);
-        FakeSocket silent = rig.client();
+        FakeSocket unused = rig.client();
         client.send(request("read", "c3") + request("read", "c4"));
         rig.lastUsed().sendOk("body");
         rig.runPending();
-        assertTrue(client.open(), "not closed with a pipelined call pending");
+        assertTrue(client.open(), "the connection is not closed while a pipelined call is pending");
         expectResponse(200, client);
         rig.lastUsed().sendOk("body");
         rig.runPending();
-        assertFalse(client.open(), "closed with its response");
+        assertFalse(client.open(), "the connection is closed with its response");
         rig.advance(3_500);
-        assertFalse(silent.open());
+        assertFalse(unused.open());
         assertFalse(rig.dispatcher.ready());
         rig.dispatcher.evacuate(false);
         assertTrue(rig.dispatcher.ready());
@@ -57,12 +57,12 @@
         rig.lastUsed().sendOk("body");
         expectResponse(200, client);
         rig.advance(4_000);
-        assertTrue(client.open(), "serving again");
+        assertTrue(client.open(), "the connection stays open, as the balancer serves again");
     }
 
-    /** The invariant on closing fires on a planted fault: this side closes a connection with a request that has no response. */
+    /** The invariant on closing detects a deliberate fault: the balancer closes a connection with a request that has no response. */
     @Test
-    void countsAConnectionClosedOnAPendingRequest() throws IOException {
+    void countsAViolationIfAConnectionWithAPendingRequestIsClosed() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
         FakeSocket client = rig.client();
         client.send(request("read", "c1"));
--- a/balancer/src/test/java/gorsestack/proxy/MinaInternals.java
+++ b/balancer/src/test/java/gorsestack/proxy/MinaInternals.java
@@ -3,7 +3,7 @@
 import gorsestack.wire.MinaNetwork;
 import java.util.concurrent.ExecutorService;
 
-/** Access to private parts of a MinaNetwork that only tests need: its I/O thread, and its end before that of the process. */
+/** Gives tests access to private parts of a MinaNetwork: its I/O thread, and its disposal before the process ends. */
 final class MinaInternals {
     private static final String IO_PROCESSOR = "processor";
     private static final String[] FIELDS_WITH_THREADS = {"acceptor", "connector", IO_PROCESSOR, "threads"};
@@ -14,7 +14,7 @@
         this.network = network;
     }
 
-    /** Runs a task on the thread that reads from and writes to sockets. */
+    /** Runs a task on the I/O thread, which reads from and writes to sockets. */
     void executeOnIoThread(Runnable task) throws ReflectiveOperationException {
         var field = MinaNetwork.class.getDeclaredField(IO_PROCESSOR);
         field.setAccessible(true);
@@ -23,7 +23,7 @@
         execute.invoke(field.get(network), task);
     }
 
-    /** Ends all threads and closes all sockets, which in production end with the process. */
+    /** Stops all threads and closes all sockets, which in production end with the process. */
     void dispose() throws ReflectiveOperationException {
         for (String name : FIELDS_WITH_THREADS) {
             var field = MinaNetwork.class.getDeclaredField(name);
--- a/balancer/src/test/java/gorsestack/proxy/PipeliningTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/PipeliningTest.java
@@ -10,17 +10,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Requests that a client sends before the response to the one before. */
+/** Tests requests that a client sends before it has received the response to the previous one. */
 class PipeliningTest {
-    /** Danger: the queue is bounded, but reading goes on, or the client's disconnect would not be seen behind its requests. */
+    /** The queue is bounded, but reading continues. Without this, a disconnect after the pipelined requests would not be detected. */
     @Test
-    void queuesPipelinedCalls() throws IOException {
+    void queuesPipelinedCallsUpToALimitAndKeepsReading() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
         FakeSocket client = rig.client();
         client.send(request("read", "c1") + request("read", "c2"));
         client.send(request("read", "c3").repeat(1_200));
         assertTrue(client.discardsInput, "the queue is bounded");
-        assertFalse(client.readsPaused, "its disconnect is seen");
+        assertFalse(client.readsPaused, "reading continues, so a disconnect is detected");
         client.send(request("read", "c4"));
         rig.lastUsed().sendOk("1");
         assertTrue(client.output.endsWith("1"), client.output);
@@ -31,12 +31,12 @@
         client.queueDisconnect();
         rig.advance(3_000);
         assertEquals(
-                connectionsBefore, rig.upstreamConnections().size(), "no attempt is begun for a disconnected client");
+                connectionsBefore, rig.upstreamConnections().size(), "no attempt is started for a disconnected client");
     }
 
-    /** Discarded calls get no response; the connection is closed in order after the queued ones. */
+    /** Discarded calls get no response; the connection is closed in order after the responses to the queued calls. */
     @Test
-    void closesAConnectionAfterTheQueuedPartOfTooManyPipelinedCalls() throws IOException {
+    void closesTheConnectionAfterTheQueuedCallsIfTooManyArePipelined() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
         FakeSocket client = rig.client();
         client.send(request("read", "c1"));
@@ -48,20 +48,20 @@
         assertEquals(2_001, client.output.split("HTTP/1.1 404", -1).length);
     }
 
-    /** Runs on a small stack: recursion over the pipelined calls would overflow it. */
+    /** Runs on a small stack, which recursion over the pipelined calls would overflow. */
     @Test
-    void respondsToHundredsOfPipelinedCallsInTurn() throws Exception {
+    void respondsToHundredsOfPipelinedCallsWithoutRecursion() throws Exception {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
         FakeSocket client = rig.client();
         List<Throwable> thrown = new ArrayList<>();
-        Thread small = new Thread(
+        Thread smallStackThread = new Thread(
                 null,
                 () -> client.send("GET /other HTTP/1.1\r\nX-Correlation-Id: c\r\n\r\n".repeat(1_000)),
                 "small",
                 192 << 10);
-        small.setUncaughtExceptionHandler((t, e) -> thrown.add(e));
-        small.start();
-        small.join();
+        smallStackThread.setUncaughtExceptionHandler((t, e) -> thrown.add(e));
+        smallStackThread.start();
+        smallStackThread.join();
         assertEquals(List.of(), thrown);
         assertEquals(1_001, client.output.split("HTTP/1.1 404", -1).length);
     }
--- a/balancer/src/test/java/gorsestack/proxy/RequestForwardingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/RequestForwardingTest.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** Forwarding of requests and responses between one client and one upstream. */
+/** Tests the forwarding of requests and responses between one client and one upstream. */
 class RequestForwardingTest {
     @Test
     void forwardsTheUpstreamBodyAndReusesBothConnections() throws IOException {
@@ -29,11 +29,9 @@
         assertEquals(1, rig.upstreamConnections().size());
     }
 
-    /**
-     * On a connection that is established late, the upstream is sent the time left to the client then, not at the start of the attempt.
-     */
+    /** On a connection that is established late, the request states the remaining time when it is sent, not when the attempt started. */
     @Test
-    void sendsTheTimeLeftAtTheMomentOfSending() throws IOException {
+    void sendsTheTimeThatRemainsWhenTheRequestIsWritten() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
         rig.connectsAtOnce = false;
         rig.client().send(request("read", "c"));
@@ -42,9 +40,9 @@
         assertTrue(rig.lastUsed().output.contains("X-Time-Left: 1865000u\r\n"), rig.lastUsed().output);
     }
 
-    /** Rule 1: the time of a pipelined call runs from its arrival, not from the moment it is forwarded. */
+    /** Rule 1: the time of a pipelined call counts from its arrival, not from when it is forwarded. */
     @Test
-    void measuresThePipelinedCallsDeadlineFromItsLastByte() throws IOException {
+    void measuresTheDeadlineOfAPipelinedCallFromItsLastByte() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
         FakeSocket client = rig.client();
         client.send(request("once", "c"));
@@ -63,14 +61,14 @@
     }
 
     @Test
-    void lateBytesReachNoOtherCall() throws IOException {
+    void forwardsNoLateBytesToAnotherCall() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
         FakeSocket client = rig.client();
         client.send(request("read", "c1"));
         FakeSocket first = rig.lastUsed();
         first.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
         expectResponse(200, client);
-        assertFalse(first.open(), "more than the response was received");
+        assertFalse(first.open(), "the connection is closed, as it received more than the response");
         client.send(request("read", "c2"));
         FakeSocket second = rig.lastUsed();
         second.sendOk("b");
@@ -81,7 +79,7 @@
         FakeSocket third = rig.lastUsed();
         client.queueDisconnect();
         rig.runPending();
-        assertFalse(third.open(), "the client has disconnected, its attempt is cancelled");
+        assertFalse(third.open(), "the attempt is cancelled, as the client has disconnected");
         third.sendOk("late");
         FakeSocket other = rig.client();
         other.send(request("read", "c4"));
@@ -89,7 +87,7 @@
         assertTrue(other.output.endsWith("d"), other.output);
     }
 
-    /** Danger: seen with faulty upstreams. A response made for one call must not become that of another. */
+    /** Guards against a fault seen with faulty upstreams: the response to one call was taken for the response to another. */
     @Test
     void usesNoResponseThatPrecedesItsRequest() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
@@ -99,7 +97,7 @@
         first.sendOk("1");
         expectResponse(200, client);
         client.send(request("once", "c2"));
-        assertTrue(rig.lastUsed() != first, "a duplicate may follow right behind the response");
+        assertTrue(rig.lastUsed() != first, "the connection is not reused at once, as a duplicate may follow the response");
         rig.lastUsed().sendOk("2");
         expectResponse(200, client);
         rig.advance(20);
@@ -110,9 +108,9 @@
         assertFalse(rig.lastUsed().open());
     }
 
-    /** Danger: seen with faulty upstreams. A wrong content length held the call until its deadline. */
+    /** Guards against a fault seen with faulty upstreams: a wrong content length kept the call open until its deadline. */
     @Test
-    void abandonsAResponseThatStallsPartway() throws IOException {
+    void failsACallWhoseResponseStalls() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
         FakeSocket client = rig.client();
         client.send(request("once", "c"));
--- a/balancer/src/test/java/gorsestack/proxy/ResponseEndOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ResponseEndOrderingTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Ends and resets of upstream connections that cross responses, on real connections. */
+/** Tests ends and resets of upstream connections that coincide with responses, on real connections. */
 @Timeout(60)
 class ResponseEndOrderingTest {
-    /** Only an orderly end completes a response without a length; a reset never does. */
+    /** An orderly end completes a response without a length; a reset does not. */
     @Test
-    void doesNotTakeAResetForTheEndOfAResponse() throws Exception {
+    void completesAResponseWithoutLengthOnAnOrderlyEndButNotOnAReset() throws Exception {
         for (boolean orderly : new boolean[] {true, false}) {
             try (SocketRig rig = new SocketRig(1)) {
                 Socket client = rig.connectClient();
@@ -38,9 +38,9 @@
         }
     }
 
-    /** The balancer's own close crosses the upstream's orderly end in the queue: the end completes nothing after it. */
+    /** The upstream's orderly end is still queued when the balancer closes the connection: the end no longer completes a response. */
     @Test
-    void doesNotTakeAnEndAfterItsOwnCloseForTheEndOfAResponse() throws Exception {
+    void ignoresAnOrderlyEndAfterTheBalancerClosedTheConnection() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectClient();
             send(client, request("once", "c"));
@@ -52,16 +52,16 @@
             upstream.close();
             rig.awaitWithoutRunning(() -> !attempt.channel.open());
             Runnable end = rig.takeQueuedTask();
-            rig.advance(400); // incomplete: nothing more for a quarter of a second
+            rig.advance(400); // the response stalls: nothing arrives for a quarter of a second
             end.run();
             rig.runPending();
             assertTrue(readMessage(client).startsWith("HTTP/1.1 502 "));
         }
     }
 
-    /** A duplicate response does not become that of a later call; and once one is seen, connections stay idle longer before reuse. */
+    /** A duplicate response is not sent to a later call, and once one is seen, connections stay idle longer before they are reused. */
     @Test
-    void givesNoDuplicateResponseToALaterCall() throws Exception {
+    void sendsNoDuplicateResponseToALaterCall() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectIdleClient();
             Socket upstream = rig.upstreams.get(0).accepted.get(0);
@@ -75,7 +75,7 @@
             send(other, ok("2"));
             rig.runUntil(() -> rig.clientSpy(0).sentCount == 2);
             assertTrue(readMessage(client).endsWith("2"));
-            rig.advance(50); // by then a pooled one would be reused, had no duplicate been seen
+            rig.advance(50); // a pooled connection would be reused by now if no duplicate had been seen
             send(client, request("read", "third"));
             rig.runUntil(() -> rig.upstreamSpies.size() == 3);
         }
--- a/balancer/src/test/java/gorsestack/proxy/ScriptedPeer.java
+++ b/balancer/src/test/java/gorsestack/proxy/ScriptedPeer.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An upstream or discovery on a loopback port, with the test accepting and serving its connections. */
+/** An upstream or discovery on a loopback port, whose connections the test accepts and serves. */
 final class ScriptedPeer implements AutoCloseable {
     private static final int BACKLOG = 50;
 
@@ -33,7 +33,7 @@
         return socket;
     }
 
-    /** Accepts a connection, or returns null if none arrives within so many milliseconds. */
+    /** Accepts a connection, or returns null if none arrives within {@code millis} milliseconds. */
     Socket acceptWithin(int millis) throws IOException {
         listener.setSoTimeout(millis);
         try {
--- a/balancer/src/test/java/gorsestack/proxy/SettingsIsolationTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/SettingsIsolationTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Several balancers in one process. */
+/** Tests several balancers in one process. */
 @Timeout(60)
 class SettingsIsolationTest {
-    /** Two balancers with different settings in one JVM: neither sees a product, a limit or a time of the other's. */
+    /** Two balancers with different settings run in one JVM; the products, limits and times of one do not affect the other. */
     @Test
     void isolatesTheSettingsOfTwoBalancers() throws Exception {
         String other = SocketRig.SETTINGS
@@ -30,18 +30,18 @@
                     "500 1300",
                     one.limits.upstream().silenceThresholdNanos() / SocketRig.MS + " "
                             + two.limits.upstream().silenceThresholdNanos() / SocketRig.MS);
-            int n = 0;
+            int callCount = 0;
             for (SocketRig rig : new SocketRig[] {one, two, one}) {
-                n++;
-                String own = rig == one ? "read" : "lesen";
-                String foreign = rig == one ? "lesen" : "read";
+                callCount++;
+                String configured = rig == one ? "read" : "lesen";
+                String unconfigured = rig == one ? "lesen" : "read";
                 Socket client = rig.connectClient();
                 HandlerSpy spy = rig.lastClientSpy();
-                send(client, "GET /" + foreign + " HTTP/1.1\r\nX-Correlation-Id: f\r\n\r\n");
+                send(client, "GET /" + unconfigured + " HTTP/1.1\r\nX-Correlation-Id: f\r\n\r\n");
                 rig.runUntil(() -> spy.sentCount == 1);
                 assertTrue(readMessage(client).startsWith("HTTP/1.1 404 "));
                 int connectionsBefore = rig.upstreamSpies.size();
-                send(client, "GET /" + own + " HTTP/1.1\r\nX-Correlation-Id: o" + n + "\r\nX-Time-Left: 5000m\r\n\r\n");
+                send(client, "GET /" + configured + " HTTP/1.1\r\nX-Correlation-Id: o" + callCount + "\r\nX-Time-Left: 5000m\r\n\r\n");
                 rig.runUntilRequestSent(connectionsBefore);
                 String sent = readMessage(rig.upstreams.get(0).accept());
                 assertTrue(sent.contains(rig == one ? "X-Time-Left: 29" : "X-Time-Left: 49"), sent);
--- a/balancer/src/test/java/gorsestack/proxy/ShutdownOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ShutdownOrderingTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The end of the process crossing new connections and responses, on real connections. */
+/** Tests shutdown that coincides with new connections and responses, on real connections. */
 @Timeout(60)
 class ShutdownOrderingTest {
     /**
-     * Accepted from the backlog as the listener closes, and not seen by the event loop yet: the process must not end before it is
-     * served.
+     * A connection was accepted from the backlog as the listener closed, and the event loop has not been notified of it. The process must
+     * not end before it is served.
      */
     @Test
     void waitsForAConnectionJustAcceptedFromTheBacklog() throws Exception {
@@ -39,7 +39,7 @@
             assertTrue(readMessage(client).endsWith("served"));
             rig.dispatcher.clients().closeAll();
             rig.runUntil(() -> rig.clientSpy(0).closedCount > 0);
-            assertEquals(0, ended.get(), "its socket is open");
+            assertEquals(0, ended.get(), "the process does not end while the socket is open");
             assertEquals("", readToEnd(client));
             client.close();
             rig.awaitWithoutRunning(() -> rig.network.accepted() == 0);
@@ -48,7 +48,7 @@
         }
     }
 
-    /** The last byte of every response is sent, and its client has seen the end, before the process ends; here with a slow reader. */
+    /** The process does not end before a slow reader has received the last byte of its response and closed its connection. */
     @Test
     void waitsForTheLastByteOfAResponseToASlowReader() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
@@ -68,8 +68,8 @@
             rig.network.stopAccepting();
             rig.dispatcher.clients().onAllClosed(ended::incrementAndGet);
             rig.runUntil(() -> rig.clientSpy(0).channel.unsent() > 0 || rig.clientSpy(0).sentCount > 0);
-            String all = readToEnd(client);
-            assertTrue(all.endsWith("\r\n\r\n" + body), all.length() + " bytes");
+            String output = readToEnd(client);
+            assertTrue(output.endsWith("\r\n\r\n" + body), output.length() + " bytes");
             assertEquals(0, ended.get());
             client.close();
             rig.awaitWithoutRunning(() -> rig.network.accepted() == 0);
--- a/balancer/src/test/java/gorsestack/proxy/ShutdownTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ShutdownTest.java
@@ -10,10 +10,10 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The end of the process with calls in flight. */
+/** Tests shutdown with calls in flight. */
 class ShutdownTest {
     @Test
-    void respondsToCallsInFlightAtShutdownAndClosesBetweenCalls() throws IOException {
+    void respondsToCallsInFlightAtShutdownAndClosesIdleConnections() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
         FakeSocket idle = rig.client();
         FakeSocket busy = rig.client();
@@ -24,9 +24,9 @@
         expectResponse(503, late);
         FakeSocket newClient = rig.client();
         newClient.send(request("read", "d"));
-        boolean[] quiet = {false};
-        rig.dispatcher.clients().onAllClosed(() -> quiet[0] = true);
-        // Danger: the other balancer may not have started yet; connected clients are served for as long as possible.
+        boolean[] allClosed = {false};
+        rig.dispatcher.clients().onAllClosed(() -> allClosed[0] = true);
+        // Connected clients are served for as long as possible, as the other balancer may not have started yet.
         idle.send(request("read", "e"));
         rig.lastUsed().sendOk("e");
         expectResponse(200, idle);
@@ -36,15 +36,15 @@
         assertFalse(idle.open());
         rig.upstreamConnections().get(0).sendOk("c");
         assertTrue(
-                busy.output.contains("Connection: close\r\n") && busy.output.endsWith("c") && !quiet[0], busy.output);
+                busy.output.contains("Connection: close\r\n") && busy.output.endsWith("c") && !allClosed[0], busy.output);
         rig.upstreamConnections().get(1).sendOk("d");
         expectResponse(200, newClient);
-        assertTrue(quiet[0]);
+        assertTrue(allClosed[0]);
     }
 
-    /** Rule 1: a call accepted around SIGTERM has its response before the process may be killed. */
+    /** Rule 1: a call that is accepted shortly before or after SIGTERM gets its response before the process may be killed. */
     @Test
-    void endsALateCallBeforeShutdown() throws IOException {
+    void respondsToEveryCallByTheShutdownDeadline() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
         FakeSocket client = rig.client();
         FakeSocket earlier = rig.client();
@@ -58,15 +58,15 @@
         expectResponse(504, earlier);
     }
 
-    /** Rule 1: seen with few descriptors. A call that had been read was lost with the idle connection it arrived on. */
+    /** Rule 1. Guards against a fault seen with few descriptors: a call that was read was lost as its idle connection was closed. */
     @Test
-    void respondsToACallReadWhileItsConnectionCloses() throws IOException {
+    void respondsToACallThatWasQueuedWhenItsConnectionWasToBeClosed() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
         FakeSocket client = rig.client();
         rig.dispatcher.shutDown(Long.MAX_VALUE, false);
         byte[] read = request("read", "c").getBytes(StandardCharsets.US_ASCII);
         rig.execute(() -> {
-            rig.execute(() -> client.handler().received(read, rig.now())); // read, and waiting in the queue
+            rig.execute(() -> client.handler().received(read, rig.now())); // the request was read and is queued
             rig.dispatcher.clients().closeAll();
         });
         rig.runPending();
--- a/balancer/src/test/java/gorsestack/proxy/SocketRig.java
+++ b/balancer/src/test/java/gorsestack/proxy/SocketRig.java
@@ -29,17 +29,17 @@
 import java.util.function.Supplier;
 
 /**
- * A balancer on real loopback sockets whose event loop is the test's own thread: tasks handed over by the I/O thread wait until the test
- * runs them, so that two events can be handled in either order. Peers are scripted, and the clock moves only when the test advances it.
+ * A balancer on real loopback sockets whose event loop runs on the test's own thread. Tasks that the I/O thread submits are queued until
+ * the test runs them, so that two events can be handled in either order. The test scripts the peers and advances the clock.
  */
 final class SocketRig implements EventLoop, AutoCloseable {
     static final long MS = 1_000_000;
-    /** How long a test waits for real sockets and threads before it fails. */
+    /** How long a test waits for sockets and threads before it fails. */
     static final int TIMEOUT_MILLIS = 10_000;
 
     private static final long START_MILLIS = 1_700_000_000_000L;
-    /** Turns of the I/O thread after which a changed interest in events has taken effect. */
-    private static final int IO_TURNS = 3;
+    /** The number of iterations of the I/O thread after which a changed interest in events has taken effect. */
+    private static final int IO_ITERATIONS = 3;
 
     private static final String LOOPBACK = "127.0.0.1";
 
@@ -56,10 +56,10 @@
     final Limits limits;
     final MinaNetwork network;
     final CallDispatcher dispatcher;
-    /** Where the balancer listens for clients. */
+    /** The address on which the balancer listens for clients. */
     final InetSocketAddress address;
 
-    /** Handlers of accepted connections, of those to upstreams and of those to discovery, each in the order they were made. */
+    /** The handlers of accepted connections, of those to upstreams and of those to discovery, each in the order of their creation. */
     final List<HandlerSpy> clientSpies = new ArrayList<>();
 
     final List<HandlerSpy> upstreamSpies = new ArrayList<>();
@@ -68,10 +68,10 @@
 
     final List<ScriptedPeer> upstreams = new ArrayList<>();
     final ScriptedPeer discovery;
-    /** Whether events of connections that are begun from now on are withheld until the test releases them. */
+    /** Whether events of connections that the balancer opens from now on are withheld until the test releases them. */
     boolean withholdsConnects;
 
-    /** Tasks of the I/O thread and of the loop itself, in the order of their arrival. */
+    /** The tasks that the I/O thread and the event loop have submitted, in order. */
     private final LinkedBlockingDeque<Runnable> tasks = new LinkedBlockingDeque<>();
 
     private final MinaInternals minaInternals;
@@ -79,10 +79,10 @@
     private final Thread testThread = Thread.currentThread();
     private final List<AutoCloseable> resources = new ArrayList<>();
     private volatile long now = START_MILLIS * MS;
-    /** Where the I/O thread stops when it next takes the time, as it does on each read. */
+    /** The pause of the I/O thread when it next reads the clock, as it does on each read from a socket; null for none. */
     private volatile ThreadPause pauseAtRead;
-    /** Where the I/O thread stops when it has next handed over a task. */
-    private volatile ThreadPause pauseAtHandOver;
+    /** The pause of the I/O thread after it next submits a task; null for none. */
+    private volatile ThreadPause pauseAfterSubmit;
 
     SocketRig(int upstreamCount) throws IOException {
         this(upstreamCount, SETTINGS);
@@ -127,22 +127,23 @@
         return spy;
     }
 
-    /** The real network with a spy on each connection that the balancer begins. */
+    /** The real network with a spy on each connection that the balancer opens. */
     private final class SpyingNetwork implements Network {
         @Override
-        public void listen(InetSocketAddress at, Supplier<ConnectionHandler> handlers) throws IOException {
-            network.listen(at, handlers);
+        public void listen(InetSocketAddress localAddress, Supplier<ConnectionHandler> handlers) throws IOException {
+            network.listen(localAddress, handlers);
         }
 
         @Override
-        public void listenSeparately(InetSocketAddress at, int most, Supplier<ConnectionHandler> handlers)
+        public void listenSeparately(
+                InetSocketAddress localAddress, int maxConnections, Supplier<ConnectionHandler> handlers)
                 throws IOException {
-            network.listenSeparately(at, most, handlers);
+            network.listenSeparately(localAddress, maxConnections, handlers);
         }
 
         @Override
-        public void setMaxConnections(int most) {
-            network.setMaxConnections(most);
+        public void setMaxConnections(int maxConnections) {
+            network.setMaxConnections(maxConnections);
         }
 
         @Override
@@ -156,19 +157,19 @@
         }
 
         @Override
-        public void connect(InetSocketAddress to, ConnectionHandler handler) {
-            HandlerSpy spy = new HandlerSpy(handler, to);
+        public void connect(InetSocketAddress remoteAddress, ConnectionHandler handler) {
+            HandlerSpy spy = new HandlerSpy(handler, remoteAddress);
             if (withholdsConnects) {
                 spy.withhold();
             }
-            (to.equals(discovery.address()) ? watchSpies : upstreamSpies).add(spy);
-            network.connect(to, spy);
+            (remoteAddress.equals(discovery.address()) ? watchSpies : upstreamSpies).add(spy);
+            network.connect(remoteAddress, spy);
         }
     }
 
     // Endpoint lists.
 
-    /** An entry of the endpoint list for one of the upstreams. */
+    /** Returns an entry of the endpoint list for one of the upstreams. */
     String endpoint(int upstream, String status) {
         return "{\"name\":\"s" + upstream + "\",\"address\":\"127.0.0.1:"
                 + upstreams.get(upstream).listener.getLocalPort() + "\",\"zone\":\"a\",\"group\":1,\"status\":\""
@@ -192,7 +193,7 @@
 
     // Clients and upstreams.
 
-    /** Connects a client and runs until the balancer has it. */
+    /** Connects a client and runs until the balancer has opened its connection. */
     Socket connectClient() throws Exception {
         int before = clientSpies.size();
         Socket socket = new Socket(address.getAddress(), address.getPort());
@@ -215,7 +216,7 @@
         return client;
     }
 
-    /** Runs until an upstream has the next connection and its request. */
+    /** Runs until a request is sent, and accepts and reads it at this upstream. */
     Socket acceptRequest(int upstream) throws Exception {
         int before = upstreamSpies.size();
         runUntil(() ->
@@ -225,7 +226,7 @@
         return accepted;
     }
 
-    /** Runs until the upstream connection of this number has been begun and has its request. */
+    /** Runs until the upstream connection with this number has been opened and its request has been sent. */
     void runUntilRequestSent(int connection) throws InterruptedException {
         runUntil(() -> upstreamSpies.size() > connection && upstreamSpies.get(connection).sentCount > 0);
     }
@@ -234,7 +235,7 @@
         return clientSpies.get(number);
     }
 
-    /** The spy on the client connection that was accepted last. */
+    /** Returns the spy on the client connection that was accepted last. */
     HandlerSpy lastClientSpy() {
         return clientSpies.get(clientSpies.size() - 1);
     }
@@ -254,9 +255,9 @@
     @Override
     public void execute(Runnable task) {
         tasks.add(task);
-        ThreadPause pause = pauseAtHandOver;
+        ThreadPause pause = pauseAfterSubmit;
         if (pause != null && Thread.currentThread() != testThread) {
-            pauseAtHandOver = null;
+            pauseAfterSubmit = null;
             pause.hold();
         }
     }
@@ -266,11 +267,11 @@
         return timers.add(time, task);
     }
 
-    /** Waits until a task has been handed over, and leaves it in the queue. */
+    /** Waits until a task has been submitted, and leaves it in the queue. */
     void awaitQueuedTask() throws InterruptedException {
         Runnable first = tasks.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         if (first == null) {
-            throw new AssertionError("no task was handed over");
+            throw new AssertionError("no task was submitted");
         }
         tasks.addFirst(first);
     }
@@ -281,14 +282,14 @@
         return tasks.removeFirst();
     }
 
-    /** Runs all tasks that have been handed over by now. */
+    /** Runs all tasks that have been submitted so far. */
     void runPending() {
         for (Runnable task; (task = tasks.poll()) != null; ) {
             task.run();
         }
     }
 
-    /** Runs tasks as they are handed over until the condition holds. */
+    /** Runs tasks as they are submitted until the condition holds. */
     void runUntil(BooleanSupplier condition) throws InterruptedException {
         long end = System.nanoTime() + TIMEOUT_MILLIS * MS;
         while (!condition.getAsBoolean()) {
@@ -296,31 +297,31 @@
             if (task != null) {
                 task.run();
             } else if (System.nanoTime() > end) {
-                throw new AssertionError("not reached within " + TIMEOUT_MILLIS + " ms");
+                throw new AssertionError("the condition did not hold within " + TIMEOUT_MILLIS + " ms");
             }
         }
     }
 
     /** Waits, without running any task, until a condition on the I/O threads holds. */
-    @SuppressWarnings("ThreadPriorityCheck") // gives way to the I/O threads, whose progress is waited for
+    @SuppressWarnings("ThreadPriorityCheck") // yields to the I/O threads, for whose progress it waits
     void awaitWithoutRunning(BooleanSupplier condition) throws InterruptedException {
         long end = System.nanoTime() + TIMEOUT_MILLIS * MS;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("not seen within " + TIMEOUT_MILLIS + " ms");
+                throw new AssertionError("the condition of the I/O threads did not hold within " + TIMEOUT_MILLIS + " ms");
             }
             Thread.onSpinWait();
             Thread.yield();
         }
     }
 
-    /** Advances the clock without running anything: an event loop that was late. */
+    /** Advances the clock without running anything, as a late event loop would. */
     @SuppressWarnings("NonAtomicVolatileUpdate") // written by the test's thread alone
     void advanceWithoutRunning(long millis) {
         now += millis * MS;
     }
 
-    /** Advances the clock and runs the timers that come due, with the tasks that they and the I/O thread submit. */
+    /** Advances the clock and runs the timers that become due, with the tasks that they and the I/O thread submit. */
     void advance(long millis) {
         long end = now + millis * MS;
         runPending();
@@ -332,7 +333,7 @@
         now = end;
     }
 
-    /** Advances the clock from timer to timer until the condition holds, and then runs nothing more. */
+    /** Advances the clock from timer to timer until the condition holds, and runs nothing after that. */
     void advanceUntil(BooleanSupplier condition) {
         runPending();
         while (!condition.getAsBoolean()) {
@@ -350,16 +351,16 @@
 
     // The I/O thread.
 
-    /** Waits for some turns of the I/O thread: a change of the events it waits for is in effect by then. */
-    void awaitIoTurns() throws Exception {
-        for (int i = 0; i < IO_TURNS; i++) {
+    /** Waits for some iterations of the I/O thread, after which a change of the events that it waits for is in effect. */
+    void awaitIoIterations() throws Exception {
+        for (int i = 0; i < IO_ITERATIONS; i++) {
             CountDownLatch done = new CountDownLatch(1);
             minaInternals.executeOnIoThread(done::countDown);
             ThreadPause.awaitIoThread(done);
         }
     }
 
-    /** Pauses the I/O thread: from the return on it does nothing. */
+    /** Pauses the I/O thread, which does nothing from the return of this method until it is resumed. */
     ThreadPause pauseIoThread() throws Exception {
         ThreadPause pause = new ThreadPause();
         minaInternals.executeOnIoThread(pause::hold);
@@ -367,7 +368,7 @@
         return pause;
     }
 
-    /** Sends text and pauses the I/O thread in the middle of reading it: taken from the socket, and not handed over yet. */
+    /** Sends text and pauses the I/O thread when it has read the text from the socket and not yet submitted it to the event loop. */
     ThreadPause pauseInRead(Socket sender, String text) throws Exception {
         ThreadPause pause = new ThreadPause();
         pauseAtRead = pause;
@@ -376,16 +377,16 @@
         return pause;
     }
 
-    /** Closes a connection that has nothing to write, and pauses the I/O thread in the middle of closing it. */
+    /** Closes a connection that has nothing to write, and pauses the I/O thread during the close. */
     ThreadPause pauseInClose(HandlerSpy spy) throws Exception {
         ThreadPause pause = new ThreadPause();
-        pauseAtHandOver = pause;
+        pauseAfterSubmit = pause;
         spy.channel.close();
         pause.awaitReached();
         return pause;
     }
 
-    /** Closes all sockets and ends the threads of the network, which in production end with the process. */
+    /** Closes all sockets and stops the threads of the network, which in production end with the process. */
     @Override
     public void close() throws Exception {
         for (AutoCloseable resource : resources) {
--- a/balancer/src/test/java/gorsestack/proxy/SocketStreams.java
+++ b/balancer/src/test/java/gorsestack/proxy/SocketStreams.java
@@ -6,7 +6,7 @@
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 
-/** Reads and writes of a test at its end of a real connection. */
+/** Reads and writes at the test's end of a real connection. */
 final class SocketStreams {
     private static final String LENGTH_FIELD = "Content-Length: ";
 
@@ -17,7 +17,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Reads one message: its head, and as many bytes as its content length says. */
+    /** Reads one message: its head, and the number of bytes that its content length states. */
     static String readMessage(Socket socket) throws IOException {
         InputStream input = socket.getInputStream();
         StringBuilder text = new StringBuilder();
@@ -36,7 +36,7 @@
                 .toString();
     }
 
-    /** Reads to the end of the stream; where it is reset or not reached in time, "<reset>" or "<still open>" is appended. */
+    /** Reads to the end of the stream; appends "<reset>" if it is reset, or "<still open>" if the end is not reached in time. */
     static String readToEnd(Socket socket) {
         StringBuilder text = new StringBuilder();
         try {
--- a/balancer/src/test/java/gorsestack/proxy/StartTimesTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/StartTimesTest.java
@@ -9,71 +9,75 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Starts told by a wall clock that is set, seconds and an hour, either way. */
+/** Tests start times reported by a wall clock that is set by seconds or an hour, forwards or backwards. */
 class StartTimesTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final long COLD = 20 * SECOND;
-    private static final long[] STEPS = {-3_600 * SECOND, -7 * SECOND, 0, 7 * SECOND, 3_600 * SECOND};
+    private static final long SLOW_START = 20 * SECOND;
+    private static final long[] CLOCK_STEPS = {-3_600 * SECOND, -7 * SECOND, 0, 7 * SECOND, 3_600 * SECOND};
     private final long now = 1_700_000_000L * SECOND;
-    private final StartTimes times = new StartTimes(COLD);
+    private final StartTimes times = new StartTimes(SLOW_START);
 
-    private long moved(EndpointUpdate.Kind form, String id, long told, long at, long wall, long confirmedAt) {
-        Endpoint entry = new Endpoint(id, EndpointState.READY, told, 0, 1, "", "a");
-        return times.onMonotonicClock(new EndpointUpdate(form, List.of(entry)), at, wall, confirmedAt)
+    private long convertedStart(EndpointUpdate.Kind form, String id, long reportedAt, long monotonicNow, long wallClock, long confirmedAt) {
+        Endpoint entry = new Endpoint(id, EndpointState.READY, reportedAt, 0, 1, "", "a");
+        return times.onMonotonicClock(new EndpointUpdate(form, List.of(entry)), monotonicNow, wallClock, confirmedAt)
                 .endpoints()
                 .get(0)
                 .startedAt();
     }
 
-    /** The clock was set on all machines, or on this one alone, before an upstream restarts: it is cold from its restart. */
+    /** The clock is set on all machines, or only on this one, before an upstream restarts; its slow start begins at its restart. */
     @Test
-    void aRestartThatIsHeardOfIsCold() {
-        for (long everywhere : STEPS) {
-            for (long here : STEPS) {
-                String id = "s" + everywhere + here;
-                long at = now + 60 * SECOND;
-                long restartedAt = at - 2 * SECOND;
-                long started = moved(
+    void aRestartWhileTheListIsWatchedIsRecentWhateverClockWasSet() {
+        for (long stepOnAllMachines : CLOCK_STEPS) {
+            for (long stepOnThisMachine : CLOCK_STEPS) {
+                String id = "s" + stepOnAllMachines + stepOnThisMachine;
+                long monotonicNow = now + 60 * SECOND;
+                long restartedAt = monotonicNow - 2 * SECOND;
+                long started = convertedStart(
                         EndpointUpdate.Kind.DELTA,
                         id,
-                        restartedAt + everywhere,
-                        at,
-                        at + everywhere + here,
-                        at - SECOND);
-                assertTrue(started <= at && started >= at - 10 * SECOND, id + ": age " + (at - started));
+                        restartedAt + stepOnAllMachines,
+                        monotonicNow,
+                        monotonicNow + stepOnAllMachines + stepOnThisMachine,
+                        monotonicNow - SECOND);
+                assertTrue(started <= monotonicNow && started >= monotonicNow - 10 * SECOND, id + ": age " + (monotonicNow - started));
             }
         }
     }
 
-    /** A whole list after the clock was set tells the same starts. */
+    /** A complete list after the clock was set reports the same starts. */
     @Test
-    void theSameStartToldAgainIsTheSame() {
-        long first = moved(EndpointUpdate.Kind.DELTA, "s", now - 5 * SECOND, now, now, now - SECOND);
+    void aStartReportedAgainKeepsItsTimeIfTheClockWasSet() {
+        long first = convertedStart(EndpointUpdate.Kind.DELTA, "s", now - 5 * SECOND, now, now, now - SECOND);
         assertEquals(now - 5 * SECOND, first);
-        for (long step : STEPS) {
+        for (long clockStep : CLOCK_STEPS) {
             long later = now + 30 * SECOND;
             assertEquals(
                     first,
-                    moved(EndpointUpdate.Kind.SNAPSHOT, "s", now - 5 * SECOND, later, later + step, later - SECOND));
+                    convertedStart(EndpointUpdate.Kind.SNAPSHOT, "s", now - 5 * SECOND, later, later + clockStep, later - SECOND));
         }
     }
 
-    /** What the configuration or the first list says has no list before it to be measured by. */
+    /** Starts in the cached or the first list may be old, as there is no earlier confirmation that limits their age. */
     @Test
-    void anOldStartIsOldInAFirstList() {
-        long longAgo = now - 100 * SECOND;
-        assertEquals(longAgo, moved(EndpointUpdate.Kind.CACHED, "s1", longAgo, now, now, 0));
-        assertEquals(longAgo, moved(EndpointUpdate.Kind.SNAPSHOT, "s2", longAgo, now, now, 0));
+    void anOldStartInTheFirstListKeepsItsAge() {
+        long oldStart = now - 100 * SECOND;
+        assertEquals(oldStart, convertedStart(EndpointUpdate.Kind.CACHED, "s1", oldStart, now, now, 0));
+        assertEquals(oldStart, convertedStart(EndpointUpdate.Kind.SNAPSHOT, "s2", oldStart, now, now, 0));
         assertEquals(
-                0, moved(EndpointUpdate.Kind.DELTA, "s3", 0, now, now + 3_600 * SECOND, now - SECOND), "0 is long ago");
+                0,
+                convertedStart(EndpointUpdate.Kind.DELTA, "s3", 0, now, now + 3_600 * SECOND, now - SECOND),
+                "a start of 0 stays 0, which counts as long ago");
     }
 
-    /** While discovery was away an upstream may have started long ago. */
+    /** An upstream may have started long ago if discovery was unavailable since then. */
     @Test
     void aStartDuringAnOutageOfDiscoveryKeepsItsAge() {
-        long during = now - 60 * SECOND;
-        assertEquals(during, moved(EndpointUpdate.Kind.DELTA, "s", during, now, now, now - 90 * SECOND));
+        long startDuringOutage = now - 60 * SECOND;
+        assertEquals(startDuringOutage, convertedStart(EndpointUpdate.Kind.DELTA, "s", startDuringOutage, now, now, now - 90 * SECOND));
         assertEquals(
-                now, moved(EndpointUpdate.Kind.DELTA, "t", during, now, now, now - SECOND), "older than it can be");
+                now,
+                convertedStart(EndpointUpdate.Kind.DELTA, "t", startDuringOutage, now, now, now - SECOND),
+                "a start that is older than the last confirmation allows counts as now");
     }
 }
--- a/balancer/src/test/java/gorsestack/proxy/ThreadPause.java
+++ b/balancer/src/test/java/gorsestack/proxy/ThreadPause.java
@@ -8,7 +8,7 @@
     private final CountDownLatch reached = new CountDownLatch(1);
     private final CountDownLatch resumed = new CountDownLatch(1);
 
-    /** Called on the I/O thread: stops there. */
+    /** Blocks the I/O thread, which calls this, until the test resumes it. */
     void hold() {
         reached.countDown();
         try {
@@ -30,7 +30,7 @@
     /** Waits for a latch that the I/O thread counts down. */
     static void awaitIoThread(CountDownLatch latch) throws InterruptedException {
         if (!latch.await(SocketRig.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-            throw new AssertionError("the I/O thread makes no progress");
+            throw new AssertionError("the I/O thread made no progress in time");
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/proxy/UnreadInputTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/UnreadInputTest.java
@@ -16,18 +16,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Input that has arrived at a socket and was not read as its connection ends, from either side. */
+/** Tests input that has arrived at a socket and has not been read when either side ends the connection. */
 @Timeout(60)
 class UnreadInputTest {
     private static final String NOT_FOUND = unknownProduct("crossing");
 
-    /** The request is in the system's buffer, and no thread has read it, as the connection is closed for idleness. */
+    /** The request is in the system's buffer, and no thread has read it, when its connection is closed as idle. */
     @Test
-    void respondsToAnUnreadRequestAsItsConnectionCloses() throws Exception {
-        for (boolean served : new boolean[] {false, true}) {
+    void respondsToAnUnreadRequestWhenItsIdleConnectionIsClosed() throws Exception {
+        for (boolean afterAResponse : new boolean[] {false, true}) {
             try (SocketRig rig = new SocketRig(1)) {
                 Socket client = rig.connectClient();
-                if (served) {
+                if (afterAResponse) {
                     send(client, NOT_FOUND);
                     rig.runUntil(() -> rig.clientSpy(0).sentCount == 1);
                     readMessage(client);
@@ -36,18 +36,18 @@
                 send(client, NOT_FOUND);
                 rig.clientConnections.get(0).closeIfIdle();
                 ioThread.resume();
-                int responses = served ? 2 : 1;
+                int responses = afterAResponse ? 2 : 1;
                 rig.runUntil(() -> rig.clientSpy(0).sentCount == responses || rig.clientSpy(0).closedCount > 0);
                 assertTrue(
                         readMessage(client).startsWith("HTTP/1.1 404 "),
-                        served ? "an idle connection" : "a new connection");
+                        afterAResponse ? "an idle connection" : "a new connection");
             }
         }
     }
 
-    /** A request that arrives after an unused connection was closed is not read: its client may send it again. */
+    /** A request that arrives after an unused connection was closed is not read, so its client may send it again. */
     @Test
-    void readsNothingOnceANewConnectionIsClosed() throws Exception {
+    void readsNothingAfterAnUnusedConnectionIsClosed() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectClient();
             rig.clientConnections.get(0).closeIfIdle();
@@ -61,9 +61,9 @@
         }
     }
 
-    /** An upstream responds and resets its connection: what was read before the reset is a response like any other. */
+    /** An upstream responds and resets its connection. The response that was read before the reset is forwarded. */
     @Test
-    void servesAResponseReadTogetherWithAReset() throws Exception {
+    void forwardsACompleteResponseReadTogetherWithAReset() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectClient();
             send(client, request("once", "answered"));
@@ -79,9 +79,9 @@
         }
     }
 
-    /** The reset is still one: a response without a length that was read before it is incomplete. */
+    /** A response without a length that was read together with a reset is incomplete. */
     @Test
-    void doesNotTakeAResetForTheEndOfAResponseWithoutLength() throws Exception {
+    void failsACallWhoseResponseWithoutLengthWasReadTogetherWithAReset() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectClient();
             send(client, request("once", "cut"));
@@ -97,7 +97,7 @@
         }
     }
 
-    /** A line of the watch with a reset behind it has been received: its drain holds from then on. */
+    /** A line of the watch that is followed by a reset has been received, so its drain takes effect. */
     @Test
     void appliesAWatchLineReadTogetherWithAReset() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
@@ -111,14 +111,14 @@
             Socket client = rig.connectClient();
             send(client, request("once", "drained"));
             rig.runUntil(() -> rig.clientSpy(0).sentCount == 1);
-            String seen = readMessage(client);
-            assertTrue(seen.startsWith("HTTP/1.1 429 "), "no upstream is left to send it to: " + seen);
+            String response = readMessage(client);
+            assertTrue(response.startsWith("HTTP/1.1 429 "), "no upstream is available for the call: " + response);
         }
     }
 
-    /** A client sends its call and disconnects at once: the disconnect is known with the call, and no attempt is begun. */
+    /** A client sends its call and disconnects at once. The disconnect is detected together with the call, and no attempt is started. */
     @Test
-    void beginsNoAttemptForAClientWhoseDisconnectCameWithItsCall() throws Exception {
+    void startsNoAttemptForAClientThatDisconnectedRightAfterItsCall() throws Exception {
         try (SocketRig rig = new SocketRig(1)) {
             Socket client = rig.connectClient();
             ThreadPause ioThread = rig.pauseIoThread();
@@ -126,9 +126,9 @@
             client.close();
             ioThread.resume();
             rig.awaitQueuedTask();
-            rig.takeQueuedTask().run(); // the call alone, whatever else is known of the connection by now
+            rig.takeQueuedTask().run(); // runs only the task of the call, even if the disconnect is queued by now
             rig.runUntil(() -> rig.clientSpy(0).closedCount > 0);
-            assertNull(rig.upstreams.get(0).acceptWithin(50), "no attempt was begun");
+            assertNull(rig.upstreams.get(0).acceptWithin(50), "no attempt was started");
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/proxy/UpstreamAttemptTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/UpstreamAttemptTest.java
@@ -9,16 +9,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The states of an attempt, and when its request may be sent. */
+/** Tests the states of an attempt, and when its request may be sent. */
 class UpstreamAttemptTest {
     private final CallFixture fixture = new CallFixture();
     private final ActiveCall call = new ActiveCall("c", fixture.client(), CallFixture.request("c"));
 
     @Test
-    void itIsConnectingThenSentThenFinished() {
+    void stateChangesFromConnectingToSentToFinished() {
         UpstreamAttempt attempt = fixture.attempt(call, 100, Long.MAX_VALUE);
         assertEquals(SendGate.State.CONNECTING, attempt.state());
-        assertTrue(attempt.mayHaveExecuted(), "as long as nothing proves the contrary");
+        assertTrue(attempt.mayHaveExecuted(), "an attempt without an outcome may have been executed");
         attempt.written(5);
         assertEquals(SendGate.State.SENT, attempt.state());
         attempt.ended(Outcome.REJECTED, null);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void theFirstOutcomeCountsAndALateWriteDoesNotReopenIt() {
+    void keepsTheFirstOutcomeAndStaysFinishedAfterALateWrite() {
         UpstreamAttempt attempt = fixture.attempt(call, 100, Long.MAX_VALUE);
         attempt.ended(Outcome.TIMED_OUT, null);
         attempt.ended(Outcome.FULFILLED, null);
@@ -37,11 +37,11 @@
         assertEquals(Outcome.TIMED_OUT, attempt.outcome());
         assertEquals(SendGate.State.FINISHED, attempt.state());
         assertTrue(attempt.mayHaveExecuted());
-        assertEquals(List.of("finished", "sent 5"), fixture.events, "the write is audited all the same");
+        assertEquals(List.of("finished", "sent 5"), fixture.events, "a write after the outcome is reported too");
     }
 
     @Test
-    void aRequestIsNotSentAtItsDeadlineOrAfterItsRetryWindow() {
+    void doesNotSendARequestAtItsDeadlineOrAtTheEndOfItsRetryWindow() {
         UpstreamAttempt attempt = fixture.attempt(call, 100, Long.MAX_VALUE);
         UpstreamAttempt retry = fixture.attempt(call, 100, 50);
         fixture.now = 49;
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aRequestIsNotSentForAClientThatDisconnectedOrACallThatEnded() {
+    void doesNotSendARequestIfTheClientDisconnectedOrTheCallOrAttemptEnded() {
         UpstreamAttempt attempt = fixture.attempt(call, 100, Long.MAX_VALUE);
         fixture.clientOpen = false;
         assertFalse(attempt.mayBeSent());
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void itTimesOutAtItsDeadlineUnlessTheTimerIsCancelled() {
+    void timesOutAtTheDeadlineUnlessTheTimerIsCancelled() {
         UpstreamAttempt attempt = fixture.attempt(call, 100, Long.MAX_VALUE);
         attempt.scheduleTimeout();
         fixture.runUntil(99);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void itsTimeCountsFromTheEndOfALargeBody() {
+    void countsTheTimeoutFromTheEndOfALargeBody() {
         UpstreamAttempt attempt = fixture.attempt(call, Long.MAX_VALUE, Long.MAX_VALUE);
         assertTrue(attempt.bodyIncomplete());
         attempt.restartTimeout(20, 120);
--- a/balancer/src/test/java/gorsestack/proxy/UpstreamConnectionPoolTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/UpstreamConnectionPoolTest.java
@@ -11,9 +11,12 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Use of pooled, late and idle connections to upstreams. */
+/** Tests the use of pooled, late and idle connections to upstreams. */
 class UpstreamConnectionPoolTest {
-    /** Rule 1. Seen under overload: a hedge was sent on a connection that was established just after the call had its response. */
+    /**
+     * Rule 1. Guards against a fault seen under overload: a hedged request was sent on a connection that was established just after the
+     * call had its response.
+     */
     @Test
     void sendsNothingOnAConnectionEstablishedAfterTheResponse() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
@@ -22,7 +25,7 @@
         FakeSocket first = rig.lastUsed();
         rig.connectsAtOnce = false;
         for (int i = 0; i < 40; i++) {
-            rig.client().send(request("read", "w" + i)); // responses that earn the budget of a hedge
+            rig.client().send(request("read", "w" + i)); // the responses earn the budget of one hedged request
             if (!rig.lastUsed().connected) {
                 rig.lastUsed().connect();
             }
@@ -31,7 +34,7 @@
         rig.upstreamConnections().stream().filter(socket -> socket != first).forEach(FakeSocket::queueDisconnect);
         rig.advance(610);
         FakeSocket hedge = rig.lastUsed();
-        assertFalse(hedge.connected, "a hedge has begun and its connection is not established");
+        assertFalse(hedge.connected, "the hedged request waits for its connection, which is not established");
         // The response and the connection arrive one after the other, before the event loop runs anything else.
         rig.execute(() -> first.handler()
                 .received(
@@ -40,7 +43,7 @@
         rig.runPending();
         expectResponse(200, client);
         assertEquals("", hedge.output);
-        assertTrue(hedge.open(), "unused, so it is pooled for the next call");
+        assertTrue(hedge.open(), "the connection is unused, so it is pooled for the next call");
         rig.advance(20);
         client.send(request("once", "next"));
         assertTrue(rig.lastUsed() == hedge
@@ -51,8 +54,8 @@
     }
 
     /**
-     * Danger: connects to an unreachable machine hold descriptors until they fail, also when no call waits for them any more; they count
-     * against the limit.
+     * Connects to an unreachable host hold descriptors until they fail, even if no call waits for them any more, so they count against the
+     * limit.
      */
     @Test
     void countsAnAbandonedConnectUntilItFails() throws IOException {
@@ -70,12 +73,10 @@
         rig.upstreamConnections().forEach(socket -> rig.execute(socket.handler()::closed));
         rig.runPending();
         rig.client().send(request("once", "d"));
-        assertEquals(connectLimit + 1, rig.upstreamConnections().size(), "capacity again");
+        assertEquals(connectLimit + 1, rig.upstreamConnections().size(), "connections are available again");
     }
 
-    /**
-     * Danger: a third of the connections take longer than an attempt waits; were each closed on arrival, the next would be as late.
-     */
+    /** A third of the connections take longer than an attempt waits. If each were closed when established, the next would be as late. */
     @Test
     void poolsALateConnectionForTheNextCall() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
@@ -84,7 +85,7 @@
         client.send(request("once", "c"));
         FakeSocket late = rig.lastUsed();
         rig.advance(125);
-        assertEquals("", late.output, "reported as not executed");
+        assertEquals("", late.output, "no request is sent, and the attempt is reported as not executed");
         client.queueDisconnect();
         rig.runPending();
         int connectionsBefore = rig.upstreamConnections().size();
@@ -93,7 +94,7 @@
         assertEquals(
                 1,
                 rig.upstreamConnections().stream().filter(FakeSocket::open).count(),
-                "one is pooled, the others are closed");
+                "one connection is pooled, the others are closed");
         FakeSocket next = rig.client();
         next.send(request("once", "d"));
         assertEquals(connectionsBefore, rig.upstreamConnections().size(), "no new connection");
@@ -101,11 +102,9 @@
         expectResponse(200, next);
     }
 
-    /**
-     * Danger: an idle connection that reaches the upstream's own limit ends in a reset, after which the call may have been executed.
-     */
+    /** An idle connection that reaches the upstream's own idle limit ends in a reset, after which a call may have been executed. */
     @Test
-    void retiresIdleConnectionsEarlyAndReusesTheNewestFirst() throws IOException {
+    void closesIdleConnectionsEarlyAndReusesTheMostRecentlyUsedFirst() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
         FakeSocket first = rig.client();
         FakeSocket second = rig.client();
@@ -118,13 +117,13 @@
         first.send(request("read", "c"));
         rig.upstreamConnections().get(1).sendOk("c");
         rig.advance(12_000);
-        assertFalse(rig.upstreamConnections().get(0).open(), "22 s idle of 30");
+        assertFalse(rig.upstreamConnections().get(0).open(), "closed after 22 s of an idle timeout of 30 s");
         assertTrue(rig.upstreamConnections().get(1).open());
         rig.advance(10_000);
         assertFalse(rig.upstreamConnections().get(1).open());
     }
 
-    /** Danger: an unreachable machine leaves its idle connections open, and each would swallow a call. */
+    /** The idle connections to an unreachable host stay open, and each would lose a call that is sent on it. */
     @Test
     void closesIdleConnectionsToAnUnresponsiveUpstream() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
@@ -140,10 +139,10 @@
         assertEquals(
                 1,
                 rig.upstreamConnections().stream().filter(FakeSocket::open).count(),
-                "only that of the attempt in flight");
+                "only the connection of the attempt in flight stays open");
     }
 
-    /** Danger: seen with upstreams that reset pooled connections. Calls that may not be repeated were lost. */
+    /** Guards against a fault seen with upstreams that reset pooled connections: calls that may not be repeated were lost. */
     @Test
     void sendsNoNonIdempotentCallOnAPooledConnectionOnceOneWasReset() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
@@ -168,7 +167,7 @@
         other.send(request("once", "d"));
         assertEquals(before + 1, rig.upstreamConnections().size(), "a new connection");
         assertEquals(
-                1, rig.upstreamConnections().stream().filter(FakeSocket::open).count(), "in place of a pooled one");
+                1, rig.upstreamConnections().stream().filter(FakeSocket::open).count(), "the new connection replaces a pooled one");
         rig.lastUsed().sendOk("d");
         expectResponse(200, other);
         rig.advance(11_000);
