--- a/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
@@ -81,7 +81,7 @@
         if (event.update().kind() != EndpointUpdate.Kind.DELTA) {
             removeUnlisted(event.update());
         }
-        // The entries are applied in order, so that the last one counts if a message removes an upstream and adds it again.
+        // The entries are applied in order: if a message removes an upstream and adds it again, the last one counts.
         for (Endpoint endpoint : event.update().endpoints()) {
             if (endpoint.state() == EndpointState.GONE) {
                 remove(endpoint.id());
@@ -206,7 +206,8 @@
      * of the previous response, which arrives right behind it, could be taken for the response to the next attempt.
      */
     private UpstreamConnection takeIdle(ArrayDeque<UpstreamConnection> candidates, long now) {
-        boolean duplicatesSeen = now - lastDuplicateResponseAt < limits.upstream().quarantineNanos();
+        boolean duplicatesSeen =
+                now - lastDuplicateResponseAt < limits.upstream().quarantineNanos();
         long idleBefore = now
                 - (duplicatesSeen
                         ? limits.upstream().quarantineReuseDelayNanos()
--- a/balancer/src/test/java/gorsestack/proxy/ClientDisconnectOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ClientDisconnectOrderingTest.java
@@ -55,7 +55,8 @@
                     client,
                     request("once", "c").replace("Length: 2\r\n\r\nhi", "Length: 120000\r\n\r\n")
                             + "x".repeat(110_000));
-            // The connection to the upstream is established, but the event loop has not been notified: nothing is consumed yet.
+            // The connection to the upstream is established, but the event loop has not been notified: nothing is
+            // consumed yet.
             rig.runUntil(() -> rig.upstreamSpies.size() == 1);
             client.close();
             rig.awaitWithoutRunning(() -> !rig.clientSpy(0).channel.open());
--- a/balancer/src/test/java/gorsestack/proxy/ClientRequestTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ClientRequestTest.java
@@ -123,12 +123,18 @@
         for (int i = 0; i < 8; i++) {
             rig.client().send(request("once", "c" + i));
         }
-        assertEquals(8, unused.stream().filter(socket -> !socket.open()).count(), "one is closed for each client over the limit");
+        assertEquals(
+                8,
+                unused.stream().filter(socket -> !socket.open()).count(),
+                "one is closed for each client over the limit");
         assertTrue(idle.stream().allMatch(FakeSocket::open), "idle for less than 2 s, so a request may be in transit");
         rig.advance(2_400);
-        assertTrue(unused.stream().noneMatch(FakeSocket::open), "closed, as they sent no request within 2 s of connecting");
         assertTrue(
-                idle.stream().noneMatch(FakeSocket::open), "closed, as they were idle for 2 s and more than half of the limit is in use");
+                unused.stream().noneMatch(FakeSocket::open),
+                "closed, as they sent no request within 2 s of connecting");
+        assertTrue(
+                idle.stream().noneMatch(FakeSocket::open),
+                "closed, as they were idle for 2 s and more than half of the limit is in use");
         FakeSocket excess = null;
         for (int i = 0; i < 16; i++) {
             excess = rig.client();
--- a/balancer/src/test/java/gorsestack/proxy/ConnectOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ConnectOrderingTest.java
@@ -56,7 +56,8 @@
                 String remaining = rig.endpoint(1 - first, "in_service");
                 switch (variant) {
                     case "missing" ->
-                        rig.applyUpdate("{\"index\":42,\"endpoints\":[" + remaining + "]}", EndpointUpdate.Kind.SNAPSHOT);
+                        rig.applyUpdate(
+                                "{\"index\":42,\"endpoints\":[" + remaining + "]}", EndpointUpdate.Kind.SNAPSHOT);
                     case "restarted" ->
                         rig.applyUpdate(
                                 "{\"index\":42,\"endpoints\":["
@@ -76,7 +77,9 @@
                         && rig.upstreamSpies.get(1).sentCount > 0
                         && (rig.upstreamSpies.get(0).channel != null || rig.upstreamSpies.get(0).closedCount > 0));
                 assertEquals(
-                        "", abandoned == null ? "" : readToEnd(abandoned), variant + ": no byte is sent to the first upstream");
+                        "",
+                        abandoned == null ? "" : readToEnd(abandoned),
+                        variant + ": no byte is sent to the first upstream");
             }
         }
     }
--- a/balancer/src/test/java/gorsestack/proxy/ConnectionCloseOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ConnectionCloseOrderingTest.java
@@ -115,7 +115,9 @@
                 rig.runUntil(() -> attempt.closedCount > 0);
                 ioThread.resume();
                 String received = readToEnd(client);
-                assertTrue(received.startsWith("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n"), variant + ": " + received);
+                assertTrue(
+                        received.startsWith("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n"),
+                        variant + ": " + received);
                 assertTrue(received.length() < 100_000, "the response does not look complete");
             }
         }
@@ -138,13 +140,15 @@
             assertTrue(readMessage(client).startsWith("HTTP/1.1 404 "));
             rig.advance(rig.limits.upstream().streamStallTimeoutNanos() / SocketRig.MS - 1);
             send(client, unknownProduct("later"));
-            rig.awaitWithoutRunning(spy.channel::hasUnhandledInput); // not any queued task, as a watch has started meanwhile
+            // Any queued task would not do, as a watch has started meanwhile.
+            rig.awaitWithoutRunning(spy.channel::hasUnhandledInput);
             ThreadPause ioThread = rig.pauseIoThread();
             rig.runUntil(() -> spy.receivedCount == 3);
             assertTrue(spy.channel.unsent() > 0, "the response is being written");
             rig.advance(2);
             ioThread.resume();
-            assertTrue(readMessage(client).startsWith("HTTP/1.1 404 "), "the connection was closed during its response");
+            assertTrue(
+                    readMessage(client).startsWith("HTTP/1.1 404 "), "the connection was closed during its response");
         }
     }
 
--- a/balancer/src/test/java/gorsestack/proxy/EndpointCacheTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/EndpointCacheTest.java
@@ -78,7 +78,10 @@
         WatchEvent restored = EndpointCache.watchEvent(cache.snapshot(DISCOVERY, 9));
         assertEquals(41, restored.index());
         assertEquals(EndpointUpdate.Kind.CACHED, restored.update().kind());
-        assertEquals(List.of(ready, draining), restored.update().endpoints(), "a ready upstream without an address is not restored");
+        assertEquals(
+                List.of(ready, draining),
+                restored.update().endpoints(),
+                "a ready upstream without an address is not restored");
         assertEquals(Map.of("s1", ADDRESS), restored.addresses());
     }
 }
--- a/balancer/src/test/java/gorsestack/proxy/EndpointListOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/EndpointListOrderingTest.java
@@ -164,7 +164,8 @@
                 long startedAt = rig.now();
                 rig.advanceUntil(() -> rig.watchSpies.size() > refused);
                 assertTrue(
-                        rig.now() - startedAt <= rig.limits.discovery().maxRetryDelayNanos(), "retried within the maximum delay");
+                        rig.now() - startedAt <= rig.limits.discovery().maxRetryDelayNanos(),
+                        "retried within the maximum delay");
                 rig.runUntil(() -> rig.watchSpies.get(refused).sentCount > 0);
                 Socket accepted = restarted.accept();
                 assertTrue(readMessage(accepted).startsWith("GET /catalog/members?watch=1"));
--- a/balancer/src/test/java/gorsestack/proxy/HedgeOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/HedgeOrderingTest.java
@@ -51,8 +51,8 @@
             send(client, request("mark", "c"));
             int before = rig.upstreamSpies.size();
             rig.runUntilRequestSent(before);
-            // The first attempt may have been executed. The hedged request starts after the hedging delay of 600 ms, and
-            // its connection is established too late.
+            // The first attempt may have been executed. The hedged request starts after the hedging delay of 600 ms,
+            // and its connection is established too late.
             rig.withholdsConnects = true;
             rig.advanceUntil(() -> rig.upstreamSpies.size() == before + 2);
             HandlerSpy hedge = rig.upstreamSpies.get(before + 1);
--- a/balancer/src/test/java/gorsestack/proxy/RequestForwardingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/RequestForwardingTest.java
@@ -97,7 +97,9 @@
         first.sendOk("1");
         expectResponse(200, client);
         client.send(request("once", "c2"));
-        assertTrue(rig.lastUsed() != first, "the connection is not reused at once, as a duplicate may follow the response");
+        assertTrue(
+                rig.lastUsed() != first,
+                "the connection is not reused at once, as a duplicate may follow the response");
         rig.lastUsed().sendOk("2");
         expectResponse(200, client);
         rig.advance(20);
--- a/balancer/src/test/java/gorsestack/proxy/SettingsIsolationTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/SettingsIsolationTest.java
@@ -41,7 +41,10 @@
                 rig.runUntil(() -> spy.sentCount == 1);
                 assertTrue(readMessage(client).startsWith("HTTP/1.1 404 "));
                 int connectionsBefore = rig.upstreamSpies.size();
-                send(client, "GET /" + configured + " HTTP/1.1\r\nX-Correlation-Id: o" + callCount + "\r\nX-Time-Left: 5000m\r\n\r\n");
+                send(
+                        client,
+                        "GET /" + configured + " HTTP/1.1\r\nX-Correlation-Id: o" + callCount
+                                + "\r\nX-Time-Left: 5000m\r\n\r\n");
                 rig.runUntilRequestSent(connectionsBefore);
                 String sent = readMessage(rig.upstreams.get(0).accept());
                 assertTrue(sent.contains(rig == one ? "X-Time-Left: 29" : "X-Time-Left: 49"), sent);
--- a/balancer/src/test/java/gorsestack/proxy/ShutdownTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ShutdownTest.java
@@ -36,7 +36,8 @@
         assertFalse(idle.open());
         rig.upstreamConnections().get(0).sendOk("c");
         assertTrue(
-                busy.output.contains("Connection: close\r\n") && busy.output.endsWith("c") && !allClosed[0], busy.output);
+                busy.output.contains("Connection: close\r\n") && busy.output.endsWith("c") && !allClosed[0],
+                busy.output);
         rig.upstreamConnections().get(1).sendOk("d");
         expectResponse(200, newClient);
         assertTrue(allClosed[0]);
--- a/balancer/src/test/java/gorsestack/proxy/SocketRig.java
+++ b/balancer/src/test/java/gorsestack/proxy/SocketRig.java
@@ -308,7 +308,8 @@
         long end = System.nanoTime() + TIMEOUT_MILLIS * MS;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("the condition of the I/O threads did not hold within " + TIMEOUT_MILLIS + " ms");
+                throw new AssertionError(
+                        "the condition of the I/O threads did not hold within " + TIMEOUT_MILLIS + " ms");
             }
             Thread.onSpinWait();
             Thread.yield();
--- a/balancer/src/test/java/gorsestack/proxy/StartTimesTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/StartTimesTest.java
@@ -17,7 +17,8 @@
     private final long now = 1_700_000_000L * SECOND;
     private final StartTimes times = new StartTimes(SLOW_START);
 
-    private long convertedStart(EndpointUpdate.Kind form, String id, long reportedAt, long monotonicNow, long wallClock, long confirmedAt) {
+    private long convertedStart(
+            EndpointUpdate.Kind form, String id, long reportedAt, long monotonicNow, long wallClock, long confirmedAt) {
         Endpoint entry = new Endpoint(id, EndpointState.READY, reportedAt, 0, 1, "", "a");
         return times.onMonotonicClock(new EndpointUpdate(form, List.of(entry)), monotonicNow, wallClock, confirmedAt)
                 .endpoints()
@@ -40,7 +41,9 @@
                         monotonicNow,
                         monotonicNow + stepOnAllMachines + stepOnThisMachine,
                         monotonicNow - SECOND);
-                assertTrue(started <= monotonicNow && started >= monotonicNow - 10 * SECOND, id + ": age " + (monotonicNow - started));
+                assertTrue(
+                        started <= monotonicNow && started >= monotonicNow - 10 * SECOND,
+                        id + ": age " + (monotonicNow - started));
             }
         }
     }
@@ -54,7 +57,13 @@
             long later = now + 30 * SECOND;
             assertEquals(
                     first,
-                    convertedStart(EndpointUpdate.Kind.SNAPSHOT, "s", now - 5 * SECOND, later, later + clockStep, later - SECOND));
+                    convertedStart(
+                            EndpointUpdate.Kind.SNAPSHOT,
+                            "s",
+                            now - 5 * SECOND,
+                            later,
+                            later + clockStep,
+                            later - SECOND));
         }
     }
 
@@ -74,7 +83,9 @@
     @Test
     void aStartDuringAnOutageOfDiscoveryKeepsItsAge() {
         long startDuringOutage = now - 60 * SECOND;
-        assertEquals(startDuringOutage, convertedStart(EndpointUpdate.Kind.DELTA, "s", startDuringOutage, now, now, now - 90 * SECOND));
+        assertEquals(
+                startDuringOutage,
+                convertedStart(EndpointUpdate.Kind.DELTA, "s", startDuringOutage, now, now, now - 90 * SECOND));
         assertEquals(
                 now,
                 convertedStart(EndpointUpdate.Kind.DELTA, "t", startDuringOutage, now, now, now - SECOND),
--- a/balancer/src/test/java/gorsestack/proxy/UpstreamConnectionPoolTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/UpstreamConnectionPoolTest.java
@@ -167,7 +167,9 @@
         other.send(request("once", "d"));
         assertEquals(before + 1, rig.upstreamConnections().size(), "a new connection");
         assertEquals(
-                1, rig.upstreamConnections().stream().filter(FakeSocket::open).count(), "the new connection replaces a pooled one");
+                1,
+                rig.upstreamConnections().stream().filter(FakeSocket::open).count(),
+                "the new connection replaces a pooled one");
         rig.lastUsed().sendOk("d");
         expectResponse(200, other);
         rig.advance(11_000);
