--- a/balancer/src/main/java/gorsestack/proxy/PeerChannel.java
+++ b/balancer/src/main/java/gorsestack/proxy/PeerChannel.java
@@ -11,7 +11,7 @@
     byte[] onMessage(int peer, byte[] message);
 
     /** Returns the fraction of the known peers that restarted recently; NaN if it is unknown. */
-    default double recoveredRecentlyFraction() {
+    default double recentlyStartedFraction() {
         return Double.NaN;
     }
 
--- a/balancer/src/main/java/gorsestack/proxy/RecoveryCoordinator.java
+++ b/balancer/src/main/java/gorsestack/proxy/RecoveryCoordinator.java
@@ -163,7 +163,7 @@
         }
         double previousLevel = throttleLevel;
         if (peerChannel != null) {
-            stormDetector.setRecentlyStartedFraction(peerChannel.recoveredRecentlyFraction());
+            stormDetector.setRecentlyStartedFraction(peerChannel.recentlyStartedFraction());
         }
         throttleLevel = stormDetector.level(eventLoop.now());
         policy.setRetryAfterJitter(throttleLevel);
--- a/balancer/src/main/java/gorsestack/server/PeerExchange.java
+++ b/balancer/src/main/java/gorsestack/server/PeerExchange.java
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public double recoveredRecentlyFraction() {
+    public double recentlyStartedFraction() {
         return recovery.recentlyStartedFraction(eventLoop.now());
     }
 
