--- a/balancer/src/main/java/gorsestack/wire/ClientConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientConnection.java
@@ -5,23 +5,23 @@
 import gorsestack.settings.Limits;
 
 /**
- * A connection that a client opened: one API call at a time, each with one response. Its states and their transitions are described in
- * docs/architecture.md ("States"). Used on the event loop's thread, except for {@link #mayBeConnected}.
+ * A connection that a client opened: it carries one API call at a time, each with one response. docs/architecture.md ("States") describes
+ * its states and their transitions. Used on the event loop's thread, except for {@link #mayBeConnected}.
  */
 public final class ClientConnection implements ConnectionHandler, BodyRelay.Target {
-    /** What the connection is doing; a request that has arrived in part is {@code IDLE} with a parser that has begun. */
+    /** State of the connection; while only part of a request has arrived it is {@code IDLE}, and the parser has begun. */
     private enum State {
         /** No call is open: nothing has arrived, or part of a request. */
         IDLE,
-        /** The socket has been asked to close, unless something has been read meanwhile. */
+        /** The socket closes the connection unless it has read something in the meantime. */
         CLOSING_IF_IDLE,
-        /** A request is open: it has no complete response yet. */
+        /** A call is open: its request has no complete response yet. */
         IN_CALL,
-        /** The last response is written or the connection is given up: what arrives is discarded. Final. */
+        /** The last response is written or the connection is given up; input is discarded. Final. */
         ENDING
     }
 
-    /** Order in which connections are closed when there are too many; see {@link #closePriority}. */
+    /** Priorities for closing connections when there are too many; see {@link #closePriority}. */
     private static final int CLOSE_FIRST = 0;
 
     private static final int CLOSE_NEVER_USED = 1;
@@ -29,7 +29,7 @@
     private static final int KEEP = 9;
 
     private static final System.Logger LOG = System.getLogger("gorsestack.client");
-    /** Connections of this process so far. */
+    /** Number of client connections that this process has opened so far. */
     private static long connectionCount;
 
     private long number;
@@ -40,21 +40,21 @@
     private Channel channel;
     private State state = State.IDLE;
     private boolean hasRequested;
-    /** Relays the body of the response to the open request, if it is large. */
+    /** Relays the body of the response to the open request; null unless the body is large. */
     private BodyRelay download;
 
-    /** The connection is closed after the response to the open request. */
+    /** Whether the connection is closed after the response to the open request. */
     private boolean lastResponse;
-    /** It has had its last response and only waits for the client to close. */
+    /** Whether the last response was written and the connection only waits for the client to close. */
     private boolean lingering;
-    /** A request was read to its end and has no complete response yet. */
+    /** Whether a request was read to its end and has no complete response yet. */
     private boolean responseOwed;
-    /** Why this side ends the connection; null while it does not. */
+    /** Why this side ends the connection; null as long as it does not. */
     private CloseReason closeReason;
-    /** Read by the sockets' thread too. */
+    /** Whether the connection has ended; also read by the sockets' thread. */
     private volatile boolean closed;
 
-    /** A connection that has not been opened yet. */
+    /** Creates a connection that has not been opened yet. */
     public ClientConnection(Limits limits, EventLoop eventLoop, ClientRequestHandler handler) {
         this.eventLoop = eventLoop;
         this.handler = handler;
@@ -62,7 +62,7 @@
         reader = new ClientRequestReader(limits, eventLoop, this, handler, timings);
     }
 
-    /** The one place that changes the state: {@code ENDING} is never left. */
+    /** Changes the state, except from {@code ENDING}, which is final. */
     private void enter(State next) {
         if (state != State.ENDING) {
             state = next;
@@ -77,8 +77,8 @@
         return state == State.ENDING;
     }
 
-    /** Whether nothing is read any more. */
-    boolean over() {
+    /** Returns whether the connection has ended or is ending, so that no more requests are read. */
+    boolean closedOrEnding() {
         return closed || ending();
     }
 
@@ -86,13 +86,13 @@
     public void opened(Channel openedBy) {
         channel = openedBy;
         reader.opened(openedBy);
-        number = ++connectionCount; // the event loop's thread alone opens
+        number = ++connectionCount; // Only the event loop's thread opens connections.
         timings.opened(eventLoop.now());
         handler.opened(this);
     }
 
     @Override
-    public void received(byte[] bytes, long at) {
+    public void received(byte[] bytes, long readAt) {
         if (closed) {
             return;
         }
@@ -106,20 +106,20 @@
         if (state == State.CLOSING_IF_IDLE) {
             enter(State.IDLE);
         }
-        reader.received(bytes, at);
+        reader.received(bytes, readAt);
     }
 
-    /** A request has been read to its end: it must have its response. */
+    /** Records that a request has been read to its end and must have its response. */
     void requestComplete() {
         responseOwed = true;
     }
 
-    /** Responds to a request that is rejected. Danger: closing at once while the client still sends resets the connection. */
+    /** Rejects a request and ends the connection gracefully: closing it while the client still sends would reset it. */
     public void reject(MalformedMessageException e) {
         LOG.log(System.Logger.Level.DEBUG, "request_rejected status={0} reason=\"{1}\"", e.status, e.getMessage());
         if (download != null) {
             responseOwed = false;
-            end(CloseReason.BAD_REQUEST); // in the middle of a response, which must not look complete
+            end(CloseReason.BAD_REQUEST); // The response under way must not look complete.
             return;
         }
         handler.clientDisconnected(this);
@@ -131,14 +131,14 @@
         end(CloseReason.BAD_REQUEST);
     }
 
-    /** Ends the connection in order: what is written is sent first. */
+    /** Ends the connection gracefully: what is written is sent first. */
     void end(CloseReason reason) {
         enter(State.ENDING);
         closeReason = closeReason == null ? reason : closeReason;
         channel.finish();
     }
 
-    /** Ends the connection at once. Danger: what is written and not sent yet is lost. */
+    /** Ends the connection at once; written bytes that have not been sent yet are lost. */
     private void abort(CloseReason reason) {
         enter(State.ENDING);
         closeReason = closeReason == null ? reason : closeReason;
@@ -157,13 +157,13 @@
         try {
             Request request = Request.of(head, body, upload);
             Settings.Repeat repeat = handler.repeat(request.product());
-            MalformedMessageException misfit = repeat == null ? null : request.misfit(repeat);
+            MalformedMessageException violation = repeat == null ? null : request.retrySafetyViolation(repeat);
             if (repeat == null && upload != null) {
                 reject(new MalformedMessageException(404, "no such class"));
             } else if (repeat == null) {
                 respond(Response.own(404, "", "no such class"));
-            } else if (misfit != null) {
-                reject(misfit);
+            } else if (violation != null) {
+                reject(violation);
             } else {
                 handler.call(this, request, arrivedAt);
             }
@@ -173,18 +173,18 @@
     }
 
     private Response health() {
-        String step = handler.recoveryPhase();
-        String text = (handler.ready() ? "ready" : "not ready") + (step.isEmpty() ? "" : "; " + step);
+        String phase = handler.recoveryPhase();
+        String text = (handler.ready() ? "ready" : "not ready") + (phase.isEmpty() ? "" : "; " + phase);
         return Response.own(handler.ready() ? 200 : 503, "", text);
     }
 
-    /** Sends the one response to the open call; ignored if there is none. */
+    /** Sends the response to the open call; does nothing if no call is open. */
     public void respond(Response response) {
         if (closed || !inCall()) {
             return;
         }
-        // Danger: requests sent ahead have been accepted and must have their responses. A client that pipelines may be
-        // sending one just now: it is not told that the connection closes, and the socket decides after the response.
+        // Requests sent ahead have been accepted and must have their responses. A client that pipelines may be sending
+        // one now: its response does not announce the close, and the socket decides after that response.
         lastResponse |=
                 (reader.overflowed() || (handler.closing() && !reader.pipelining() && !channel.hasUnhandledInput()))
                         && !reader.hasReadAhead();
@@ -202,7 +202,7 @@
         }
     }
 
-    /** Danger: closing on a client that still sends its body; it would not see the response. So the rest is read first. */
+    /** Sends an early response, then reads the rest of the body: a client whose connection closes as it sends misses the response. */
     private void respondEarly(Response response) {
         enter(State.ENDING);
         lingering = true;
@@ -224,8 +224,8 @@
     }
 
     /**
-     * The upstream's response has broken off. Danger: closed at once, the connection would lose the beginning of the response, and the client
-     * would have read nothing for a request that was processed. By the end of the stream it sees that the response is incomplete.
+     * Ends the connection gracefully after the upstream's response has broken off, so that the client sees an incomplete response. Closing
+     * at once would lose the beginning of the response, and the client would have read nothing for a request that was processed.
      */
     @Override
     public void bodyFailed() {
@@ -233,7 +233,7 @@
         end(CloseReason.ANSWER_CUT);
     }
 
-    /** The response has been written to its last byte. */
+    /** Completes the open call: its response has been written to the last byte. */
     @Override
     public void bodyComplete() {
         download = null;
@@ -247,15 +247,15 @@
         reader.nextRequest();
         enter(State.IDLE);
         if (reader.hasReadAhead()) {
-            // Danger: hundreds of requests sent ahead, each answered at once, would be parsed in nested calls and
-            // overflow the stack.
+            // This runs as a task of its own: hundreds of requests sent ahead, each answered at once, would be parsed
+            // in nested calls and overflow the stack.
             eventLoop.execute(reader::parseReadAhead);
         } else if (reader.pipelining() && handler.closing()) {
             closeIfIdle();
         }
     }
 
-    /** Danger: requests that never end, or never begin, would take up all connections that clients may have. */
+    /** Closes an overdue connection: requests that never end or never begin would take up all connections that clients may have. */
     public void giveUpIfOverdue() {
         long now = eventLoop.now();
         if (download != null && timings.responseStalled(now)) {
@@ -274,13 +274,13 @@
         }
     }
 
-    /** Priority for being closed when there are too many connections, lowest first: lingering, never used, idle; 9 for one to keep. */
+    /** Returns the priority for being closed when there are too many, lowest first: lingering, never used, idle; 9 for one to keep. */
     public int closePriority() {
         long now = eventLoop.now();
         if (lingering && channel.unsent() == 0) {
             return CLOSE_FIRST;
         }
-        // Danger: one that is ending and does not linger has its last response on its way.
+        // A connection that is ending and does not linger is kept: its last response may not have been sent yet.
         if (state != State.IDLE || timings.justOpened(now)) {
             return KEEP;
         }
@@ -303,7 +303,7 @@
         handler.closed(this);
     }
 
-    /** Makes room for other connections: one that lingers is closed at once, one between calls in order. */
+    /** Closes the connection in favour of others: at once if it lingers, gracefully if it is between calls. */
     public void evict() {
         if (lingering) {
             drop(CloseReason.ROOM);
@@ -312,7 +312,7 @@
         }
     }
 
-    /** The process ends: gives up an open call at once, closes an idle connection in order, and lets a response that is on its way finish. */
+    /** Ends the connection at shutdown: gives up an open call, closes an idle connection gracefully, lets a begun response finish. */
     public void endForShutdown() {
         if (inCall() && download == null) {
             drop();
@@ -322,24 +322,24 @@
     }
 
     /**
-     * Whether the client may still be there, as far as its socket knows; may be called on the sockets' thread. Danger: a busy event loop
-     * learns late that a client has disconnected.
+     * Returns whether the client may still be connected, as far as its socket knows. May be called on the sockets' thread, as a busy event
+     * loop learns late that a client has disconnected.
      */
     public boolean mayBeConnected() {
         return !closed && channel.open();
     }
 
-    /** Its number among this process's clients' connections, in the order in which they were opened; for the log. */
+    /** Returns the number of this connection among the process's client connections, in the order of opening; for the log. */
     public long number() {
         return number;
     }
 
-    /** Whether it has sent a request, so that no first request is on its way. */
+    /** Returns whether the client has sent a request, so that no first request is on its way. */
     public boolean hasRequested() {
         return hasRequested;
     }
 
-    /** Whether a large response is being relayed. */
+    /** Returns whether a large response is being relayed. */
     public boolean relayingResponse() {
         return download != null;
     }
@@ -349,7 +349,7 @@
         if (state == State.IDLE && !reader.begun() && !reader.hasReadAhead()) {
             enter(State.CLOSING_IF_IDLE);
             if (hasRequested && timings.justResponded(eventLoop.now())) {
-                channel.finishUnlessInputArrived(); // the client may still be reading its last response
+                channel.finishUnlessInputArrived(); // The client may still be reading its last response.
             } else {
                 channel.closeUnlessInputArrived();
             }
@@ -364,7 +364,7 @@
         }
     }
 
-    private CloseReason reasonOfEnd() {
+    private CloseReason effectiveCloseReason() {
         if (closeReason != null) {
             return closeReason;
         }
@@ -383,7 +383,7 @@
         if (channel == null) {
             return;
         }
-        handler.ended(this, reasonOfEnd(), responseOwed);
+        handler.ended(this, effectiveCloseReason(), responseOwed);
         if (inCall()) {
             handler.clientDisconnected(this);
         }
--- a/balancer/src/main/java/gorsestack/wire/ClientRequestReader.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientRequestReader.java
@@ -6,8 +6,9 @@
 import java.util.Arrays;
 
 /**
- * The reading side of a client's connection: parses one request after the other, queues what is sent ahead of a response, and relays large
- * bodies. {@link ClientConnection} decides when it reads and responds to what it has read. Used on the event loop's thread only.
+ * The reading side of a client's connection: parses one request after the other, queues requests that are sent ahead of a response, and
+ * relays large bodies. {@link ClientConnection} owns it, controls when it reads, and responds to the requests. Used on the event loop's
+ * thread only.
  */
 final class ClientRequestReader implements BodyRelay.Source {
     private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -20,15 +21,15 @@
     private final ReadAheadQueue readAhead;
     private HttpParser parser;
     private Channel channel;
-    /** When the bytes that are being parsed were read. */
+    /** Time at which the bytes that are being parsed were read. */
     private long lastByteAt;
-    /** Relays the body of the open request, if it is large. */
+    /** Relays the body of the open request; null unless the body is large. */
     private BodyRelay upload;
 
     private boolean uploadPaused;
-    /** The client sends requests without waiting for responses. */
+    /** Whether the client sends requests without waiting for responses. */
     private boolean pipelining;
-    /** More was sent ahead than is buffered: the rest is discarded, and the connection ends after the requests that were buffered. */
+    /** Whether more was sent ahead than is buffered: the rest is discarded, and the connection ends after the buffered requests. */
     private boolean overflowed;
 
     private boolean readingSuspended;
@@ -53,12 +54,12 @@
         channel = openedBy;
     }
 
-    /** Whether part of a request has arrived, or a whole one that is still open. */
+    /** Returns whether part of a request has arrived, or a whole one that is still open. */
     boolean begun() {
         return parser.begun();
     }
 
-    /** Whether the request that has begun takes too long. */
+    /** Returns whether the request that has begun takes too long. */
     boolean overdue(long now) {
         return parser.begun() && timings.requestOverdue(now, parser);
     }
@@ -79,7 +80,7 @@
         return upload != null;
     }
 
-    /** Whether the body of the open request is still arriving. */
+    /** Returns whether the body of the open request is still arriving. */
     boolean uploading() {
         return upload != null && !parser.done();
     }
@@ -88,33 +89,33 @@
         return uploadPaused;
     }
 
-    /** Parses bytes that have arrived, or queues them if they can't be parsed yet. */
-    void received(byte[] bytes, long at) {
-        lastByteAt = at;
+    /** Parses bytes that have arrived, or queues them if they cannot be parsed yet. */
+    void received(byte[] bytes, long readAt) {
+        lastByteAt = readAt;
         if (connection.inCall() && !uploading()) {
             if (readAhead.isEmpty() && !overflowed && !Request.canBegin(bytes, 0)) {
                 connection.reject(new MalformedMessageException(400, "more than the length said"));
                 return;
             }
-            enqueue(bytes, at);
+            enqueue(bytes, readAt);
         } else if (uploadPaused || !readAhead.isEmpty()) {
-            enqueue(bytes, at);
+            enqueue(bytes, readAt);
         } else {
             parse(bytes);
         }
     }
 
     /**
-     * Danger: while reading is suspended the client's end of stream is not seen, and attempts are started for a client that has
-     * disconnected. So what is sent ahead of a response is discarded past its limit; reading is only suspended for a body with a slow target,
-     * as no other call waits behind it.
+     * Queues bytes that cannot be parsed yet. While reading is suspended the end of the client's stream is not seen, and attempts would be
+     * started for a client that has disconnected. Bytes sent ahead of a response are therefore discarded past their limit; reading is only
+     * suspended for a body with a slow target, as no other call waits behind it.
      */
-    private void enqueue(byte[] bytes, long at) {
+    private void enqueue(byte[] bytes, long readAt) {
         if (overflowed) {
             return;
         }
         pipelining |= !uploading();
-        readAhead.addLast(bytes, at);
+        readAhead.addLast(bytes, readAt);
         if (uploading() && !readingSuspended && !mayReadAhead()) {
             readingSuspended = true;
             channel.suspendReading(true);
@@ -124,7 +125,10 @@
         }
     }
 
-    /** A paused upload is read ahead up to a limit, so that the client's end of stream is seen behind it. */
+    /**
+     * Returns whether a paused upload may be read further. It is read ahead up to a limit, so that the end of the client's stream is seen
+     * behind it.
+     */
     private boolean mayReadAhead() {
         return upload.hasTarget()
                 ? readAhead.totalBytes() <= handler.bufferBudget().relayLimit()
@@ -143,7 +147,7 @@
         if (!paused && !readAhead.isEmpty()) {
             eventLoop.execute(this::parseReadAhead);
         } else if (paused && readingSuspended && mayReadAhead()) {
-            resumeReading(); // the target has failed; until the next one more may be read ahead
+            resumeReading(); // The target has failed: more may be read ahead until the next one is attached.
         }
     }
 
@@ -183,8 +187,8 @@
     }
 
     private void requestComplete(byte[] bytes, int used) throws MalformedMessageException {
-        // Danger: a declared length that is too short; what follows is no request, and the call is not the one that was
-        // meant.
+        // The declared length may be too short: if the bytes behind the body cannot begin a request, the call is not
+        // the one that the client meant.
         if (!Request.canBegin(bytes, used)) {
             throw new MalformedMessageException(400, "more than the length said");
         }
@@ -201,15 +205,20 @@
         }
     }
 
-    /** Rule 1: a request sent ahead was accepted when its last byte was read, not when it is parsed. */
+    /**
+     * Parses what was sent ahead, as far as possible. By rule 1 a request that was sent ahead was accepted when its last byte was read, not
+     * when it is parsed.
+     */
     void parseReadAhead() {
-        while (!connection.over() && (uploading() ? !uploadPaused : !connection.inCall()) && !readAhead.isEmpty()) {
+        while (!connection.closedOrEnding()
+                && (uploading() ? !uploadPaused : !connection.inCall())
+                && !readAhead.isEmpty()) {
             ReadAheadQueue.Piece piece = readAhead.removeFirst();
             lastByteAt = piece.readAt();
             parse(piece.bytes());
         }
-        if (overflowed && !connection.over() && !connection.inCall() && readAhead.isEmpty()) {
-            connection.end(CloseReason.SENT_TOO_MUCH); // what follows was discarded
+        if (overflowed && !connection.closedOrEnding() && !connection.inCall() && readAhead.isEmpty()) {
+            connection.end(CloseReason.SENT_TOO_MUCH); // The bytes that followed were discarded.
         }
         if (readingSuspended
                 && uploading()
@@ -218,7 +227,7 @@
         }
     }
 
-    /** The open request has its complete response: forgets its body. */
+    /** Forgets the body of the open request after its complete response. */
     void releaseUpload() {
         upload = null;
     }
@@ -232,7 +241,7 @@
         }
     }
 
-    /** The open request is rejected: its body is neither relayed nor read any further. */
+    /** Stops reading and relaying the body of the open request, which is rejected. */
     void abortUpload() {
         if (upload != null) {
             upload.fail();
@@ -241,19 +250,19 @@
         }
     }
 
-    /** The open request has its response early: its body is not relayed any further. */
+    /** Stops relaying the body of the open request, which has its response early. */
     void failUpload() {
         upload.fail();
     }
 
-    /** Reads the rest of a request that has its response early, without using it. */
+    /** Reads and discards the rest of a request that has its response early. */
     void discardRest() {
         uploadPaused = false;
         resumeReading();
         readAhead.drainTo(this::discard);
     }
 
-    /** Reads bytes without using them; the connection ends with the request. */
+    /** Reads and discards bytes; the connection ends with the end of the request. */
     void discard(byte[] bytes) {
         try {
             if (!parser.done()) {
@@ -267,7 +276,7 @@
         }
     }
 
-    /** The connection is closed. */
+    /** Drops all input after the connection has been closed. */
     void closed() {
         readAhead.clear();
         if (upload != null) {
--- a/balancer/src/main/java/gorsestack/wire/ClientTimings.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientTimings.java
@@ -2,12 +2,15 @@
 
 import gorsestack.settings.Limits;
 
-/** When things happened on one client's connection, and which time-outs have passed. Used on the event loop's thread only. */
+/**
+ * Records the times of events on one client's connection and decides which timeouts have passed. Used by {@link ClientConnection} and
+ * {@link ClientRequestReader} on the event loop's thread only.
+ */
 final class ClientTimings {
     private final Limits limits;
     private long openedAt;
     private long requestBegunAt;
-    /** When bytes last arrived or were sent, or reading was resumed. */
+    /** Time at which bytes last arrived or were sent, or reading was paused or resumed. */
     private long lastProgressAt;
 
     private long idleSince;
@@ -22,8 +25,8 @@
         idleSince = now;
     }
 
-    void requestBegun(long at) {
-        requestBegunAt = at;
+    void requestBegun(long begunAt) {
+        requestBegunAt = begunAt;
     }
 
     void progressed(long now) {
@@ -34,17 +37,17 @@
         idleSince = now;
     }
 
-    /** Whether the client takes nothing of a response that is being relayed to it. */
+    /** Returns whether the client has stopped reading a response that is being relayed to it. */
     boolean responseStalled(long now) {
         return now - lastProgressAt >= limits.upstream().streamStallTimeoutNanos();
     }
 
-    /** Whether the rest of a request that has its response already has stopped arriving. */
+    /** Returns whether the rest of a request that already has its response has stopped arriving. */
     boolean discardStalled(long now) {
         return now - lastProgressAt >= limits.client().stallTimeoutNanos();
     }
 
-    /** Whether a request takes too long. A body that arrives slowly is accepted; one that has stopped arriving is not. */
+    /** Returns whether a request takes too long. A body that arrives slowly is accepted; one that has stopped arriving is not. */
     boolean requestOverdue(long now, HttpParser parser) {
         if (parser.head() == null) {
             return now - requestBegunAt >= limits.client().requestHeadTimeoutNanos();
@@ -54,22 +57,22 @@
                         >= parser.bodyBytes() * limits.client().maxNanosPerBodyByte();
     }
 
-    /** Whether a connection without a request has been open for too long. */
+    /** Returns whether a connection without a request has been open for too long. */
     boolean firstRequestOverdue(long now) {
         return now - openedAt >= limits.client().idleTimeoutNanos();
     }
 
-    /** Whether it was opened so recently that its first request may be on its way. */
+    /** Returns whether the connection was opened so recently that its first request may be on its way. */
     boolean justOpened(long now) {
         return now - openedAt < limits.client().firstRequestGraceNanos();
     }
 
-    /** Whether it has been idle for long enough to be closed when there are too many connections. */
+    /** Returns whether the connection has been idle for long enough to be closed when there are too many connections. */
     boolean idleForLong(long now) {
         return now - idleSince >= limits.client().idleTimeoutNanos();
     }
 
-    /** Whether the last response was sent so recently that the client may still be reading it. */
+    /** Returns whether the last response was sent so recently that the client may still be reading it. */
     boolean justResponded(long now) {
         return now - idleSince < limits.client().closeLingerNanos();
     }
--- a/balancer/src/main/java/gorsestack/wire/ReadAheadQueue.java
+++ b/balancer/src/main/java/gorsestack/wire/ReadAheadQueue.java
@@ -5,18 +5,22 @@
 import java.util.function.Consumer;
 
 /**
- * What one client's connection has read and not parsed yet, each piece with the time at which it was read. Counted in the
- * {@link BufferBudget}. Used on the event loop's thread only.
+ * The bytes that one client's connection has read and not parsed yet, each piece with the time at which it was read. They are counted in
+ * the {@link BufferBudget}. Used by {@link ClientRequestReader} on the event loop's thread only.
  */
 final class ReadAheadQueue {
-    /** One piece, as it was read from the socket. */
+    /** The bytes of one read from the socket, or the rest of them. */
     record Piece(byte[] bytes, long readAt) {}
 
     private final ClientRequestHandler handler;
     private final ArrayDeque<Piece> pieces = new ArrayDeque<>(1);
     private int totalBytes;
 
-    /** @param handler whose budget counts the bytes */
+    /**
+     * Creates an empty queue.
+     *
+     * @param handler the handler whose budget counts the bytes
+     */
     ReadAheadQueue(ClientRequestHandler handler) {
         this.handler = handler;
     }
@@ -34,7 +38,7 @@
         count(bytes.length);
     }
 
-    /** Puts back what the parser did not use of a piece. */
+    /** Puts back the part of a piece that the parser did not use. */
     void addFirst(byte[] bytes, long readAt) {
         pieces.addFirst(new Piece(bytes, readAt));
         count(bytes.length);
@@ -46,7 +50,7 @@
         return first;
     }
 
-    /** Empties the queue into a consumer, which may clear the queue as it ends the connection. */
+    /** Passes all pieces to a consumer and empties the queue. The consumer may clear the queue itself, as it may end the connection. */
     void drainTo(Consumer<byte[]> consumer) {
         List.copyOf(pieces).forEach(piece -> consumer.accept(piece.bytes));
         clear();
--- a/balancer/src/main/java/gorsestack/wire/Request.java
+++ b/balancer/src/main/java/gorsestack/wire/Request.java
@@ -5,13 +5,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One API call as a client sent it, with the fields that decisions need.
+ * One API call as a client sent it, with the fields that decisions need. Immutable; created by {@link ClientConnection} and passed to the
+ * proxy, on the event loop's thread.
  *
  * @param body the body; empty where upload relays it
- * @param upload relays a body that is too large to be buffered; else null
+ * @param upload relays a body that is too large to be buffered; null otherwise
  * @param id the correlation id
  * @param product the first segment of the target's path
- * @param left how long the client will still wait, in nanoseconds; -1 if it did not say
+ * @param left how long the client will still wait, in nanoseconds; -1 if it did not state it
  */
 public record Request(MessageHead head, byte[] body, BodyRelay upload, String id, String product, long left) {
 
@@ -49,16 +50,16 @@
                 head, body, upload, id, target.substring(1, end), DeadlineHeader.read(head.field("x-time-left")));
     }
 
-    /** Whether its client marks it as a retry. */
+    /** Returns whether its client marks it as a retry. */
     public boolean again() {
         return "1".equals(head.field("x-repeat"));
     }
 
     /**
-     * Checks that method and key fit the product's retry safety; null if they do. Danger: an upstream concludes from them whether a call may
-     * be retried.
+     * Checks that method and key fit the product's retry safety, as an upstream concludes from them whether a call may be retried. Returns
+     * null if they do, and the error to respond with otherwise.
      */
-    MalformedMessageException misfit(Settings.Repeat repeat) {
+    MalformedMessageException retrySafetyViolation(Settings.Repeat repeat) {
         boolean get = repeat == Settings.Repeat.IDEMPOTENT;
         if (get != head.start[0].equals("GET")) {
             return new MalformedMessageException(405, "this class takes " + (get ? "GET" : "POST"));
@@ -78,26 +79,26 @@
         };
     }
 
-    /** Whether these bytes, as far as they go, can be the start of a request. */
+    /** Returns whether these bytes, as far as they go, can be the start of a request. */
     static boolean canBegin(byte[] bytes, int offset) {
-        int at = offset;
-        while (at < bytes.length && (bytes[at] == '\r' || bytes[at] == '\n')) {
-            at++;
+        int position = offset;
+        while (position < bytes.length && (bytes[position] == '\r' || bytes[position] == '\n')) {
+            position++;
         }
-        String start = new String(bytes, at, Math.min(5, bytes.length - at), StandardCharsets.ISO_8859_1);
+        String start = new String(bytes, position, Math.min(5, bytes.length - position), StandardCharsets.ISO_8859_1);
         return "GET /".startsWith(start) || "POST ".startsWith(start);
     }
 
     /**
-     * The bytes of the request to an upstream. A relayed body follows them.
+     * Returns the bytes of the request to an upstream; a relayed body follows them.
      *
-     * @param wait how long this balancer will wait for the response, in nanoseconds
+     * @param waitNanos how long this balancer will wait for the response, in nanoseconds
      */
-    public byte[] forward(long wait) {
+    public byte[] forward(long waitNanos) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(512 + body.length);
         head.copyStart(out);
         head.copyFields(out, "x-time-left");
-        String ownFields = DeadlineHeader.NAME + ": " + DeadlineHeader.write(wait) + "\r\n"
+        String ownFields = DeadlineHeader.NAME + ": " + DeadlineHeader.write(waitNanos) + "\r\n"
                 + (upload != null
                         ? upload.framingHeader()
                         : body.length > 0 || head.start[0].equals("POST")
--- a/balancer/src/test/java/gorsestack/wire/HttpParserTest.java
+++ b/balancer/src/test/java/gorsestack/wire/HttpParserTest.java
@@ -52,7 +52,7 @@
                 assertEquals(
                         "9b1f publicar 480000000 null",
                         request.id() + " " + request.product() + " " + request.left() + " "
-                                + request.misfit(Settings.Repeat.DEDUPLICATED));
+                                + request.retrySafetyViolation(Settings.Repeat.DEDUPLICATED));
                 assertEquals(
                         "POST /publicar/x?a=b HTTP/1.1\r\nHost: service.internal\r\nX-Correlation-Id: 9b1f\r\n"
                                 + "Idempotency-Key:  k 1 \r\nX-Time-Left: 7000u\r\nContent-Length: 5\r\n\r\nhel\0o",
