--- a/balancer/src/main/java/gorsestack/wire/AttemptListener.java
+++ b/balancer/src/main/java/gorsestack/wire/AttemptListener.java
@@ -2,26 +2,36 @@
 
 import gorsestack.decision.Outcome;
 
-/** One attempt at an upstream, as its connection sees it. Called on the event loop's thread, except for {@link #mayBeSent}. */
+/**
+ * Receives the events of one attempt from the upstream connection that carries it, and supplies its request. Called on the event loop's
+ * thread, except for {@link #mayBeSent}.
+ */
 public interface AttemptListener {
-    /** The attempt has ended; the response is given only if the outcome is fulfilled. */
+    /** Called when the attempt has ended. The response is present only if the outcome is fulfilled, and null otherwise. */
     void ended(Outcome outcome, Response response);
 
-    /** The load that the upstream reported with its response; called just before {@link #ended}. */
+    /** Called just before {@link #ended} with the load that the upstream reported in its response. */
     void reported(String report);
 
-    /** The request's bytes, made when they are written: they say how long the response will be waited for from then on. */
+    /**
+     * Returns the request's bytes. They are built when they are written, as they state how long the balancer waits for the response after
+     * that.
+     */
     byte[] request();
 
-    /** The request has been sent to its last byte; at is when its first byte was, on the event loop's clock. */
-    default void written(long at) {}
+    /**
+     * Called when the request has been sent to its last byte.
+     *
+     * @param firstByteAt when its first byte was sent, on the event loop's clock
+     */
+    default void written(long firstByteAt) {}
 
-    /** The request was not sent, as {@link #mayBeSent} no longer held. */
+    /** Called when the request was not sent because {@link #mayBeSent} returned false. */
     default void notSent() {}
 
     /**
-     * Whether the request may still be sent: its call open, its client connected, its time not over. Called on the sockets' thread too, right
-     * before the first byte is sent.
+     * Returns whether the request may still be sent: its call is open, its client is connected, and its time is not over. Also called on
+     * the sockets' thread, right before the first byte is sent.
      */
     boolean mayBeSent();
 }
--- a/balancer/src/main/java/gorsestack/wire/RequestProgress.java
+++ b/balancer/src/main/java/gorsestack/wire/RequestProgress.java
@@ -1,38 +1,38 @@
 package gorsestack.wire;
 
 /**
- * How far the request of one upstream connection's attempt has been sent. Reused for each attempt. Used on the event loop's thread, except
- * for {@link #release}.
+ * Tracks how far the request of an attempt has been sent. {@link UpstreamConnection} reuses one for all its attempts. Used on the event
+ * loop's thread, except for {@link #release}.
  */
 final class RequestProgress {
-    /** The request waits for the connection to come up. */
+    /** Whether the request waits for the connection to be established. */
     private boolean waitsForConnection;
 
     private boolean bodyComplete;
-    /** Writes that the socket has not reported as sent yet. */
+    /** Number of writes that the socket has not reported as sent yet. */
     private int pendingWrites;
 
     private boolean writtenReported;
-    /** The sockets' thread found that the request may not be sent, and has written nothing of it. */
+    /** Whether the sockets' thread found that the request may not be sent, and has written nothing of it. */
     private volatile boolean denied;
-    /** When the sockets' thread released the request's first byte. */
+    /** Time at which the sockets' thread released the request's first byte. */
     private volatile long firstByteAt;
 
-    /** A new attempt. */
+    /** Begins a new attempt. */
     void reset(boolean withoutRelayedBody, boolean connecting) {
         bodyComplete = withoutRelayedBody;
         pendingWrites = 0;
         waitsForConnection = connecting;
     }
 
-    /** The request's first write is about to be queued. */
+    /** Records that the first write of the request is about to be queued. */
     void begin() {
         denied = false;
         writtenReported = false;
         pendingWrites++;
     }
 
-    /** On the sockets' thread, right before the first byte is sent. */
+    /** Records whether and when the first byte is released; called on the sockets' thread right before that byte is sent. */
     boolean release(long now, boolean allowed) {
         firstByteAt = now;
         denied = !allowed;
@@ -67,19 +67,22 @@
         return firstByteAt;
     }
 
-    /** Whether the socket has sent the last byte. Danger: a request that waits for its connection has not been sent, so it can't have run. */
+    /**
+     * Returns whether the socket has sent the last byte. A request that waits for its connection has not been sent, so it cannot have been
+     * processed.
+     */
     boolean written() {
         return bodyComplete && !waitsForConnection && pendingWrites == 0;
     }
 
-    /** Whether this is the first time that {@link #written} is true for the attempt. */
+    /** Returns whether this is the first time that {@link #written} is true for the attempt. */
     boolean becameWritten() {
         boolean became = written() && !writtenReported;
         writtenReported |= became;
         return became;
     }
 
-    /** Whether the last byte may have been sent, as far as the socket knows. */
+    /** Returns whether the last byte may have been sent, as far as the socket knows. */
     boolean mayBeWritten(Channel channel) {
         return bodyComplete && !waitsForConnection && (pendingWrites == 0 || channel.unsent() == 0);
     }
--- a/balancer/src/main/java/gorsestack/wire/Response.java
+++ b/balancer/src/main/java/gorsestack/wire/Response.java
@@ -4,22 +4,23 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A response to a client.
+ * A response to a client, relayed from an upstream or made by the balancer. Immutable; passed to {@link ClientConnection#respond} on the
+ * event loop's thread.
  *
  * @param fields header lines, each with its line end, without those that frame the body
  * @param body the body, or the part of it that has been received
- * @param rest relays the remainder of a large body; null where the body is complete
+ * @param rest relays the rest of a large body; null where the body is complete
  */
 public record Response(int status, byte[] fields, byte[] body, BodyRelay rest) {
 
-    /** An upstream's response, with its header lines and body unchanged. */
+    /** Creates the response to a client from an upstream's response, with its header lines and body unchanged. */
     static Response of(MessageHead head, byte[] body, BodyRelay rest) {
         ByteArrayOutputStream fields = new ByteArrayOutputStream(128);
         head.copyFields(fields, LoadReport.NAME);
         return new Response(200, fields.toByteArray(), body, rest);
     }
 
-    /** A response of the balancer's own, with a line of text as its body. */
+    /** Creates a response of the balancer itself, with a line of text as its body. */
     public static Response own(int status, String fields, String text) {
         return new Response(
                 status,
@@ -28,7 +29,11 @@
                 null);
     }
 
-    /** The bytes on the wire; the last response of a connection says that it will be closed. */
+    /**
+     * Returns the bytes to be sent.
+     *
+     * @param last whether it is the last response of its connection, which then announces that it will be closed
+     */
     public byte[] bytes(boolean last) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(128 + fields.length + body.length);
         String start = "HTTP/1.1 " + status + " " + reasonPhrase() + "\r\n"
--- a/balancer/src/main/java/gorsestack/wire/ResponseBuffering.java
+++ b/balancer/src/main/java/gorsestack/wire/ResponseBuffering.java
@@ -4,18 +4,22 @@
 import java.util.function.Consumer;
 
 /**
- * Whether one upstream connection buffers a large response until it is complete, so that the call can still be retried, instead of relaying
- * it as it arrives. Used on the event loop's thread only.
+ * Decides whether one upstream connection buffers a large response until it is complete, so that the call can still be retried, or relays
+ * it as it arrives. Used by {@link UpstreamConnection} on the event loop's thread only.
  */
 final class ResponseBuffering {
     private final Limits limits;
     private final EventLoop eventLoop;
     private final UpstreamConnectionOwner owner;
     private final Consumer<AttemptListener> onSlowResponse;
-    /** A place in the budget is reserved. */
+    /** Whether a place in the budget is reserved. */
     private boolean active;
 
-    /** @param onSlowResponse called some time after a response began to be buffered, whether or not it is complete by then */
+    /**
+     * Creates the state of a connection that buffers nothing.
+     *
+     * @param onSlowResponse called some time after a response began to be buffered, whether or not it is complete by then
+     */
     ResponseBuffering(
             Limits limits,
             EventLoop eventLoop,
@@ -31,7 +35,7 @@
         return active;
     }
 
-    /** Decides whether the large response that is arriving for this attempt is buffered. */
+    /** Returns whether the large response that is arriving for this attempt is buffered, and reserves or releases its place. */
     boolean buffers(HttpParser parser, AttemptListener attempt) {
         if (Math.max(parser.contentLength(), parser.bodyBytes())
                 > limits.buffer().bufferedResponseBytes()) {
--- a/balancer/src/main/java/gorsestack/wire/StallDetector.java
+++ b/balancer/src/main/java/gorsestack/wire/StallDetector.java
@@ -4,8 +4,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Finds a response that has begun and stopped arriving. Danger: a response shorter than its declared length never ends, and would keep its
- * call open until its time is up. Used on the event loop's thread only.
+ * Detects a response that has begun and stopped arriving. Without this, a response that is shorter than its declared length would never
+ * end, and would keep its call open until the call's time is over. Used by {@link UpstreamConnection} on the event loop's thread only.
  */
 final class StallDetector {
     private final EventLoop eventLoop;
@@ -13,15 +13,17 @@
     private final LongSupplier timeout;
     private final Runnable onStall;
     private long lastByteAt;
-    /** Reading is suspended on this side, so that the silence is not the upstream's. */
+    /** Whether reading is suspended on this side, so that the upstream is not the cause of the silence. */
     private boolean paused;
 
     private boolean checkScheduled;
 
     /**
+     * Creates a detector that watches nothing yet.
+     *
      * @param incomplete whether a response has begun and not ended
      * @param timeout how long such a response may be silent, in nanoseconds
-     * @param onStall what to do when it has been silent for longer
+     * @param onStall called when it has been silent for the timeout
      */
     StallDetector(EventLoop eventLoop, BooleanSupplier incomplete, LongSupplier timeout, Runnable onStall) {
         this.eventLoop = eventLoop;
@@ -30,7 +32,7 @@
         this.onStall = onStall;
     }
 
-    /** A new attempt begins; its response is not paused. */
+    /** Begins a new attempt, whose response is not paused. */
     void reset() {
         paused = false;
     }
@@ -44,7 +46,7 @@
         lastByteAt = eventLoop.now();
     }
 
-    /** Begins to watch a response that is incomplete, unless it is watched already. */
+    /** Begins to watch an incomplete response, unless it is being watched already. */
     void watch() {
         if (incomplete.getAsBoolean() && !checkScheduled) {
             checkScheduled = true;
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -5,19 +5,19 @@
 import java.net.InetSocketAddress;
 
 /**
- * A connection to an upstream: one attempt at a time, reused for later ones. Its states and their transitions are described in
- * docs/architecture.md ("States"). Used on the event loop's thread, except for the check before a request's first byte
+ * A connection to an upstream: it carries one attempt at a time and is reused for later ones. docs/architecture.md ("States") describes its
+ * states and their transitions. Owned by a pool and used on the event loop's thread, except for the check before a request's first byte
  * ({@link #mayBeSent}).
  */
 public final class UpstreamConnection implements ConnectionHandler, BodyRelay.Source, BodyRelay.Target {
-    /** A large response is relayed only after this much of it: with less, its length may be one that does not fit its body. */
+    /** Body bytes that must have arrived before a large response is relayed; with fewer, its declared length may not fit its body. */
     private static final int MIN_RELAYED_BYTES = 4 << 10;
 
     /** The upstream's name. */
     public final String upstream;
     /** The upstream's address when the connection was opened. */
     public final InetSocketAddress address;
-    /** When the pool last took it back. */
+    /** Time at which the pool last took the connection back. */
     public long idleSince;
 
     private final Limits limits;
@@ -30,21 +30,21 @@
     private HttpParser parser;
     /** The attempt that waits for its response; null if there is none. */
     private AttemptListener attempt;
-    /** Relays the request's body, if it is large. */
+    /** Relays the body of the request; null unless the body is large. */
     private BodyRelay upload;
-    /** Relays the body of a large response; its attempt has ended. */
+    /** Relays the body of a large response, whose attempt has ended; null unless one is being relayed. */
     private BodyRelay download;
 
-    /** It has carried an attempt before the current one. */
+    /** Whether the connection carried an attempt before the current one. */
     private boolean reused;
-    /** Nothing has arrived since the request was given to it. */
+    /** Whether nothing has arrived since the connection was given the request. */
     private boolean silent;
 
     private boolean closed;
-    /** The upstream accepts no new requests; read by the sockets' thread. */
+    /** Whether the upstream accepts no new requests; also read by the sockets' thread. */
     private volatile boolean withdrawn;
 
-    /** A connection that has not been opened yet. */
+    /** Creates a connection that has not been opened yet. */
     public UpstreamConnection(
             Limits limits,
             EventLoop eventLoop,
@@ -66,7 +66,7 @@
         network.connect(address, this);
     }
 
-    /** Sends one attempt, once the connection is up. */
+    /** Sends the request of one attempt, once the connection has been established. */
     public void send(BodyRelay body, AttemptListener newAttempt) {
         reused = parser != null;
         silent = true;
@@ -90,8 +90,8 @@
     }
 
     /**
-     * The last check before the first byte, on the sockets' thread. Danger: a request that waited between the decision and the write while its
-     * client disconnected, its call ended, its time passed or its upstream began to drain.
+     * Returns whether the first byte may be sent; called on the sockets' thread. Between the decision and the write the client may have
+     * disconnected, the call may have ended or run out of time, or the upstream may have begun to drain.
      */
     private boolean mayBeSent(AttemptListener current) {
         long now = eventLoop.now();
@@ -109,7 +109,7 @@
         request.bodyComplete();
     }
 
-    /** The request will never be complete, so it has not run and never will; the upstream is not at fault. */
+    /** Ends the attempt: its request will never be complete, so it has not run and never will. The upstream is not at fault. */
     @Override
     public void bodyFailed() {
         end(Outcome.NOT_SENT);
@@ -141,8 +141,8 @@
             channel.close();
             owner.closed(this);
         } else if (request.waitsForConnection()) {
-            // Danger: a connection that comes up as the call's time, the retry window or the drain grace ends, or after
-            // the client has disconnected. What is not sent has not run.
+            // Nothing is sent if the call's time, the retry window or the drain grace ended, or the client
+            // disconnected, before the connection was established. A request that is not sent has not run.
             if (!owner.acceptsRequests(this) || !attempt.mayBeSent()) {
                 attempt.notSent();
                 end(Outcome.NOT_SENT);
@@ -167,7 +167,7 @@
     }
 
     @Override
-    public void received(byte[] bytes, long at) {
+    public void received(byte[] bytes, long readAt) {
         if (closed) {
             return;
         }
@@ -176,7 +176,7 @@
         silent = false;
         if (!expectsBytes()) {
             owner.unexpectedBytes();
-            close(); // bytes that no request asked for; a later attempt must not take them for its response
+            close(); // No request asked for these bytes; a later attempt must not take them for its response.
             return;
         }
         try {
@@ -199,12 +199,12 @@
         return !closed && expectsBytes() && parser.begun();
     }
 
-    /** Whether a response is awaited or being relayed. */
+    /** Returns whether a response is awaited or being relayed. */
     private boolean expectsBytes() {
         return attempt != null || download != null;
     }
 
-    /** A large response that arrives slowly is relayed, as nobody knows when it will be complete. */
+    /** Relays a large response that arrives slowly: it is not known when it will be complete. */
     private void stopBuffering(AttemptListener buffered) {
         if (buffering.active() && attempt == buffered) {
             buffering.release();
@@ -219,10 +219,10 @@
     private void responseComplete(boolean moreBytes) throws MalformedMessageException {
         buffering.release();
         MessageHead head = parser.head();
-        // Danger: a second copy of the previous response, taken for this request's. A large request may be rejected
-        // early.
+        // A response before the end of the request is a second copy of the previous response, not the response to this
+        // request. Only a large request may be rejected before its end.
         if (!request.written() && (upload == null || head.start[1].equals("200"))) {
-            throw new MalformedMessageException(502, "an answer ahead of its request");
+            throw new MalformedMessageException(502, "a response arrived before its request was sent");
         }
         byte[] body = parser.body();
         AttemptListener completed = attempt;
@@ -249,7 +249,7 @@
         }
     }
 
-    /** A large response fulfills its attempt with its first bytes; the rest is relayed for as long as the upstream sends. */
+    /** Fulfills the attempt with the first bytes of a large response; the rest is relayed for as long as the upstream sends. */
     private void relayResponse() throws MalformedMessageException {
         MessageHead head = parser.head();
         Outcome outcome = AttemptOutcomes.ofResponse(head);
@@ -258,7 +258,7 @@
             return;
         }
         if (!request.written()) {
-            throw new MalformedMessageException(502, "an answer ahead of its request");
+            throw new MalformedMessageException(502, "a response arrived before its request was sent");
         }
         BodyRelay relay = new BodyRelay(parser.contentLength(), parser.body(), owner.bufferBudget(), this);
         parser.streamTo(relay::relay);
@@ -278,8 +278,8 @@
     }
 
     /**
-     * Cancels the attempt. Its connection is closed with it, so that a late response reaches nobody; one that is still connecting has carried
-     * nothing and may be kept for the next attempt.
+     * Cancels the attempt and closes its connection, so that a late response reaches nobody. A connection that is still being established
+     * has carried nothing and may be kept for the next attempt.
      */
     public void giveUp() {
         if (connecting() && upload == null && owner.mayContinueConnecting(this)) {
@@ -290,7 +290,7 @@
         }
     }
 
-    /** Closes the connection with whatever it carries. Late bytes reach nobody. */
+    /** Closes the connection and gives up whatever it carries. Bytes that arrive later are discarded. */
     public void close() {
         if (!closed) {
             closed = true;
@@ -310,8 +310,8 @@
                 channel.close();
                 owner.closed(this);
             }
-            // Else it counts as open until it has come up or failed: a connect can't be cancelled, and holds its
-            // descriptor until then.
+            // A connection that is being established counts as open until that succeeds or fails: a connect cannot be
+            // cancelled, and holds its descriptor until then.
         }
     }
 
@@ -323,12 +323,12 @@
         }
     }
 
-    /** Whether the connection has not come up yet. */
+    /** Returns whether the connection has not been established yet. */
     public boolean connecting() {
         return channel == null && !closed;
     }
 
-    /** The connect has timed out. */
+    /** Ends the attempt because its connection was not established in time. */
     public void connectTimedOut() {
         if (connecting() && attempt != null) {
             AttemptListener timedOut = attempt;
@@ -337,20 +337,20 @@
         }
     }
 
-    /** Whether it is connecting with no attempt that waits for it. */
+    /** Returns whether the connection is being established and no attempt waits for it. */
     public boolean spare() {
         return connecting() && attempt == null;
     }
 
-    /** The upstream accepts no new requests: a request that has not begun to be sent is not sent. */
+    /** Stops new requests, as the upstream accepts none: a request that has not begun to be sent is not sent. */
     public void withdraw() {
         withdrawn = true;
         if (connecting()) {
-            end(Outcome.NOT_SENT); // the connection is closed when it comes up
+            end(Outcome.NOT_SENT); // The connection is closed when it has been established.
         }
     }
 
-    /** The end of the stream completes a response without a length. */
+    /** Completes a response without a length at the end of the stream. */
     @Override
     public void ended() {
         try {
@@ -377,14 +377,16 @@
         owner.closed(this);
     }
 
-    /** Danger: a lack of descriptors, buffers or routes on this machine would make every upstream look unhealthy. */
+    /**
+     * Ends the attempt as not sent: a lack of descriptors, buffers or routes on this machine must not make every upstream look unhealthy.
+     */
     @Override
     public void failedHere() {
         end(Outcome.NOT_SENT);
         owner.closed(this);
     }
 
-    /** Whether the request of the current attempt may have been sent to its last byte, as far as the socket knows. */
+    /** Returns whether the request of the current attempt may have been sent to its last byte, as far as the socket knows. */
     public boolean requestWritten() {
         return request.mayBeWritten(channel);
     }
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnectionOwner.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnectionOwner.java
@@ -1,28 +1,28 @@
 package gorsestack.wire;
 
-/** The pool that owns upstream connections. Called on the event loop's thread. */
+/** The pool that owns upstream connections. Called by them on the event loop's thread. */
 public interface UpstreamConnectionOwner {
-    /** The connection is up and carries no attempt. */
+    /** Called when the connection has been established or its response is complete, and it carries no attempt. */
     void free(UpstreamConnection connection);
 
-    /** The connection has ended; may be called twice. */
+    /** Called when the connection has ended; may be called twice. */
     void closed(UpstreamConnection connection);
 
-    /** Bytes have arrived from this upstream. */
+    /** Called when bytes have arrived from this upstream. */
     void bytesReceived(String upstream);
 
-    /** A reused connection ended under a request without any byte of a response. */
+    /** Called when a reused connection ended while a request was under way and no byte of its response had arrived. */
     void reusedConnectionLost();
 
-    /** Whether the connect may go on although no attempt waits for it. */
+    /** Returns whether the connect may continue although no attempt waits for it. */
     boolean mayContinueConnecting(UpstreamConnection connection);
 
-    /** More bytes arrived after a complete response. */
+    /** Called when bytes have arrived that belong to no response. */
     void unexpectedBytes();
 
-    /** Whether the upstream still accepts new requests, at this connection's address. */
+    /** Returns whether the upstream still accepts new requests at this connection's address. */
     boolean acceptsRequests(UpstreamConnection connection);
 
-    /** The memory that all large bodies share. */
+    /** Returns the budget for the memory that all large bodies share. */
     BufferBudget bufferBudget();
 }
