--- a/balancer/src/main/java/gorsestack/wire/DeadlineHeader.java
+++ b/balancer/src/main/java/gorsestack/wire/DeadlineHeader.java
@@ -2,15 +2,18 @@
 
 import java.math.BigDecimal;
 
-/** The header with the time that a caller will still wait for its response: a number with the unit m (milliseconds) or u (microseconds). */
+/**
+ * Parses and formats the header that states how long a caller will still wait for its response: a number with the unit m (milliseconds) or
+ * u (microseconds). Stateless.
+ */
 final class DeadlineHeader {
     static final String NAME = "X-Time-Left";
-    /** What {@link #read} returns where there is no such header. */
+    /** Value that {@link #read} returns if the header is absent. */
     static final long ABSENT = -1;
 
     private DeadlineHeader() {}
 
-    /** Parses the header's value into nanoseconds. */
+    /** Parses the header's value into nanoseconds; returns {@link #ABSENT} for null. */
     static long read(String value) throws MalformedMessageException {
         if (value == null) {
             return ABSENT;
@@ -24,7 +27,7 @@
                 .longValue();
     }
 
-    /** Formats nanoseconds as microseconds; a time that is over is 0. */
+    /** Formats nanoseconds as microseconds; a negative number, for a deadline that has passed, becomes 0. */
     static String write(long nanos) {
         return Math.max(0, nanos / 1000) + "u";
     }
--- a/balancer/src/main/java/gorsestack/wire/DiscoveryWatch.java
+++ b/balancer/src/main/java/gorsestack/wire/DiscoveryWatch.java
@@ -5,20 +5,20 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Follows discovery's list of endpoints by a watch: one long request whose response delivers an event for each change. A watch that ends
- * is opened again after a delay ({@link PollBackoff}). After a change of discovery's address a second watch runs beside the first until
- * it delivers its list. Used on the event loop's thread only.
+ * Follows discovery's list of endpoints by a watch: one long request whose response delivers an event for each change. A watch that ends is
+ * opened again after a delay ({@link PollBackoff}). After a change of discovery's address a second watch runs beside the first until it
+ * delivers its list. Owned by the proxy's dispatcher; used on the event loop's thread only.
  */
 public final class DiscoveryWatch {
-    /** Receives what the watch delivers, on the event loop's thread. */
+    /** Receives the events of the watch, on the event loop's thread. */
     public interface Listener {
-        /** An event of the watch: a list of endpoints, or changes of it. */
+        /** Called for each event of the watch: a list of endpoints, or changes to it. */
         void watchEvent(WatchEvent event);
 
-        /** A watch ended before it delivered anything; it will be opened again. */
+        /** Called when a watch ended before it delivered anything; it will be opened again. */
         void watchFailed();
 
-        /** A random number from 0 up to 1, not drawn from the balancing policy's generator. */
+        /** Returns a random number from 0 up to 1 that is not drawn from the balancing policy's generator. */
         double jitter();
     }
 
@@ -38,7 +38,11 @@
     private long index;
     private long confirmedAt;
 
-    /** @param index version of the list that is known already, or 0 */
+    /**
+     * Creates a watch that has not been started yet.
+     *
+     * @param index version of the list that is known already, or 0
+     */
     public DiscoveryWatch(
             Network network,
             EventLoop eventLoop,
@@ -55,17 +59,17 @@
         backoff = new PollBackoff(limits, listener::jitter);
     }
 
-    /** The address from which the list in use came. */
+    /** Returns the address from which the list in use came. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** The version of the list in use. */
+    /** Returns the version of the list in use. */
     public long index() {
         return index;
     }
 
-    /** When a line of the watch last confirmed that the list in use is current; 0 if none has yet. */
+    /** Returns when a line of the watch last confirmed that the list in use is current; 0 if none has yet. */
     public long confirmedAt() {
         return confirmedAt;
     }
@@ -79,35 +83,35 @@
     }
 
     /**
-     * Moves to another address of discovery. Danger: the old one ends soon and the new one may be slow; the active watch is only given
-     * up for one that has delivered its list.
+     * Moves to another address of discovery. The old discovery may end soon and the new one may be slow to respond, so the active watch is
+     * only given up for one that has delivered its list.
      */
-    public void moveTo(InetSocketAddress to) {
+    public void moveTo(InetSocketAddress newAddress) {
         Watch previous = candidate;
         candidate = null;
-        if (previous != null && previous.target.equals(to)) {
-            candidate = previous; // a watch on this address is under way already
+        if (previous != null && previous.target.equals(newAddress)) {
+            candidate = previous; // A watch on this address has been started already.
             return;
         }
         if (previous != null) {
             previous.close();
         }
-        if (!to.equals(address)) {
-            // Another discovery counts its own versions, of which this balancer knows none.
-            candidate = new Watch(to, 0, limits.discovery().firstUpdateTimeoutNanos());
+        if (!newAddress.equals(address)) {
+            // Another discovery numbers its own versions, none of which this balancer knows.
+            candidate = new Watch(newAddress, 0, limits.discovery().firstUpdateTimeoutNanos());
             candidate.start();
         } else {
             watch();
         }
     }
 
-    /** One watch on one address: asking, delivering, lost. */
+    /** One watch on one address: it connects, sends its request and receives events until it is lost. */
     private final class Watch implements ConnectionHandler {
         private final WatchLineSplitter splitter = new WatchLineSplitter();
         private final HttpParser parser = HttpParser.stream(limits, this::bodyReceived);
         private final InetSocketAddress target;
         private final long knownIndex;
-        /** The watch is lost when nothing has come for this long. */
+        /** How long nothing may arrive before the watch counts as lost, in nanoseconds. */
         private long silenceTimeout;
 
         private Channel channel;
@@ -121,7 +125,7 @@
             this.silenceTimeout = silenceTimeout;
         }
 
-        /** Connects, unless the watch has been replaced meanwhile. */
+        /** Connects, unless the watch has been replaced in the meantime. */
         void start() {
             if (!replaced()) {
                 startedAt = eventLoop.now();
@@ -140,7 +144,10 @@
             return active != this && candidate != this;
         }
 
-        /** Danger: a watch on a machine that is cut off stays open and delivers nothing, so that drains are missed. */
+        /**
+         * Gives up the watch when nothing has arrived for too long. Without this, a watch on a machine that is cut off from the network
+         * would stay open and deliver nothing, so that drains would be missed.
+         */
         private void checkSilence() {
             if (!replaced()) {
                 long due = lastReceivedAt + silenceTimeout;
@@ -180,7 +187,7 @@
             }
         }
 
-        /** Whether discovery accepted the request. */
+        /** Returns whether discovery accepted the request. */
         private boolean accepted() {
             return parser.head().start[1].equals("200");
         }
@@ -192,7 +199,7 @@
             for (int i = offset; i < offset + length; i++) {
                 boolean complete = splitter.add(buffer[i]);
                 if (splitter.size() > limits.buffer().discoveryLineBytes()) {
-                    throw new MalformedMessageException(502, "a line without an end");
+                    throw new MalformedMessageException(502, "a line exceeds the maximum length");
                 }
                 if (complete) {
                     lineReceived(splitter.take());
@@ -200,7 +207,7 @@
             }
         }
 
-        /** A blank line is a heartbeat: it confirms the list and changes nothing. */
+        /** Handles one line. A blank line is a heartbeat: it confirms the list and changes nothing. */
         private void lineReceived(byte[] line) throws MalformedMessageException {
             lastReceivedAt = eventLoop.now();
             if (!new String(line, StandardCharsets.ISO_8859_1).isBlank()) {
@@ -217,18 +224,21 @@
             }
         }
 
-        /** Danger: an event that the listener failed on would be lost for good, as only newer ones are requested. */
+        /**
+         * Delivers an event. If the listener fails, the whole list is requested again; otherwise the event would be lost permanently, as
+         * only newer ones are requested.
+         */
         private void deliver(WatchEvent event) throws MalformedMessageException {
             try {
                 listener.watchEvent(event);
             } catch (RuntimeException e) {
-                // The lab takes "task failed" in the log for a fault of the program.
+                // The lab counts "task failed" in the log as a fault of the program.
                 LOG.log(
                         System.Logger.Level.ERROR,
-                        "task failed, the whole list is asked for: news " + event.index(),
+                        "task failed, the whole endpoint list is requested again: event " + event.index(),
                         e);
                 index = 0;
-                throw new MalformedMessageException(502, "news that could not be taken in");
+                throw new MalformedMessageException(502, "an event could not be applied");
             }
         }
 
@@ -240,7 +250,7 @@
             lost("closed");
         }
 
-        /** The candidate has delivered its list: it replaces the active watch. */
+        /** Replaces the active watch by this candidate, which has delivered its list. */
         private void becomeActive() {
             Watch previous = active;
             active = this;
@@ -273,14 +283,14 @@
             close();
             LOG.log(System.Logger.Level.INFO, "watch_lost reason=\"{0}\"", reason);
             long now = eventLoop.now();
-            long soon = now + backoff.shortDelay(); // drawn in each case, so that the order of draws is fixed
+            long soon = now + backoff.shortDelay(); // Drawn in each case, so that the order of random draws is fixed.
             if (moving) {
-                // Danger: what the new discovery has counts as delivered seconds after the move; polled until it
-                // delivers.
+                // The list of the new discovery counts as delivered seconds after the move, so its address is tried
+                // again until it delivers the list.
                 candidate = new Watch(target, knownIndex, limits.discovery().firstUpdateTimeoutNanos());
                 eventLoop.at(soon, candidate::start);
             } else if (candidate != null) {
-                return; // the old address takes no new connection; the candidate is under way
+                return; // No new connection to the old address: the candidate is already under way.
             } else if (delivered) {
                 eventLoop.at(soon, DiscoveryWatch.this::watch);
             } else {
--- a/balancer/src/main/java/gorsestack/wire/EventLoop.java
+++ b/balancer/src/main/java/gorsestack/wire/EventLoop.java
@@ -2,17 +2,17 @@
 
 import java.util.concurrent.Executor;
 
-/** The one thread that owns the balancing policy and all state of calls and connections, with its clock and timers. */
+/** The single thread that owns the balancing policy and all state of calls and connections, with its clock and timers. */
 public interface EventLoop extends Executor {
 
-    /** Nanoseconds since 1970; the clock is monotonic. */
+    /** Returns nanoseconds since 1970 by a monotonic clock. */
     long now();
 
-    /** Nanoseconds since 1970 by the wall clock, which may be set at any time, either way. */
+    /** Returns nanoseconds since 1970 by the wall clock, which may be set forward or back at any time. */
     default long wallClock() {
         return now();
     }
 
-    /** Runs a task once the clock has reached that time; running what is returned cancels it. */
+    /** Runs a task once the clock has reached the given time. Running the returned task cancels it. */
     Runnable at(long time, Runnable task);
 }
--- a/balancer/src/main/java/gorsestack/wire/LoadReport.java
+++ b/balancer/src/main/java/gorsestack/wire/LoadReport.java
@@ -4,14 +4,15 @@
 import java.util.List;
 
 /**
- * Parses the header in which an upstream reports its load with a response, as name=value,name=value.
+ * Parses the header in which an upstream reports its load with a response, in the form name=value,name=value. Immutable; used by the proxy
+ * on the event loop's thread.
  *
- * @param columns names of the values that are wanted, as the settings have them
+ * @param columns names of the values that are used, as configured in the settings
  */
 public record LoadReport(List<String> columns) {
     static final String NAME = "x-load";
 
-    /** The values in the order of the columns; NaN where one is missing or no number. */
+    /** Returns the values in the order of the columns; NaN where one is missing or not a number. */
     public double[] row(String report) {
         double[] row = new double[columns.size()];
         Arrays.fill(row, Double.NaN);
--- a/balancer/src/main/java/gorsestack/wire/PeerSocket.java
+++ b/balancer/src/main/java/gorsestack/wire/PeerSocket.java
@@ -10,26 +10,30 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Messages to and from the other balancers, each in a datagram, which may be lost. Received on a thread of its own, "peers", and handed to
- * the event loop; sent from the caller's thread. Danger: anybody can send a datagram; only those from a peer's address and no longer than a
- * message are accepted, and only so many may wait for the event loop.
+ * Sends and receives the messages between balancers, each in one datagram, which may be lost. Messages are received on a thread of its own,
+ * "peers", and passed to the event loop; they are sent from the caller's thread. As anybody can send a datagram, only those from a peer's
+ * address that are no longer than a message are accepted, and only a limited number may wait for the event loop.
  */
 public final class PeerSocket implements AutoCloseable {
-    /** Receives messages, on the event loop's thread. */
+    /** Receives messages on the event loop's thread. */
     public interface Listener {
-        /** A message has arrived from this peer, an index into the list of addresses. */
+        /**
+         * Called when a message has arrived.
+         *
+         * @param peer index of the sender in the list of addresses
+         */
         void message(int peer, byte[] message);
     }
 
     private static final System.Logger LOG = System.getLogger("gorsestack.peers");
     private static final int MAX_MESSAGE_BYTES = 256;
-    /** Messages that may wait for the event loop; more would be out of date by the time they are handled. */
+    /** Number of messages that may wait for the event loop; more would be out of date by the time they are handled. */
     private static final int MAX_PENDING = 64;
 
     private static final long RETRY_MS = 1;
 
     private final List<InetSocketAddress> addresses;
-    /** This balancer's index in the list of addresses. */
+    /** Index of this balancer in the list of addresses. */
     private final int ownIndex;
 
     private final DatagramSocket socket;
@@ -37,18 +41,18 @@
     /**
      * Listens on this balancer's own address.
      *
-     * @param addresses of all balancers, in the same order everywhere
-     * @param me this balancer's index in that list
+     * @param addresses addresses of all balancers, in the same order on each
+     * @param ownIndex index of this balancer in that list
      */
-    public PeerSocket(List<InetSocketAddress> addresses, int me, EventLoop eventLoop, Listener listener)
+    public PeerSocket(List<InetSocketAddress> addresses, int ownIndex, EventLoop eventLoop, Listener listener)
             throws IOException {
         this.addresses = addresses;
-        this.ownIndex = me;
+        this.ownIndex = ownIndex;
         socket = new DatagramSocket(null);
-        // Danger: in an upgrade the previous process still has the address open; either may receive what arrives
-        // meanwhile.
+        // During an upgrade the previous process still has the address open; either process may receive the datagrams
+        // that arrive in the meantime.
         socket.setReuseAddress(true);
-        socket.bind(addresses.get(me));
+        socket.bind(addresses.get(ownIndex));
         Thread thread = new Thread(() -> receive(eventLoop, listener), "peers");
         thread.setDaemon(true);
         thread.start();
@@ -75,17 +79,17 @@
                     });
                 }
             } catch (IOException e) {
-                // A datagram that a stopped peer's machine rejected is reported as an error here.
+                // A datagram that was rejected because the peer has stopped is reported as an error here.
                 LOG.log(System.Logger.Level.DEBUG, "receive_failed error=\"{0}\"", e.toString());
                 waitToRetry();
             } catch (RuntimeException e) {
-                // The lab takes "task failed" in the log for a fault of the program.
-                LOG.log(System.Logger.Level.ERROR, "task failed, goes on: peers", e);
+                // The lab counts "task failed" in the log as a fault of the program.
+                LOG.log(System.Logger.Level.ERROR, "task failed, the thread continues: peers", e);
             }
         }
     }
 
-    /** Danger: a lasting error would keep this thread busy. */
+    /** Waits a moment before the next receive. Without this, a lasting error would keep this thread busy. */
     private static void waitToRetry() {
         try {
             Thread.sleep(RETRY_MS);
@@ -94,7 +98,7 @@
         }
     }
 
-    /** Sends a message; it is dropped if there is no such peer or it is too long. */
+    /** Sends a message, or drops it if there is no such peer or the message is too long. */
     public void send(int peer, byte[] message) {
         if (peer >= 0 && peer < addresses.size() && peer != ownIndex && message.length <= MAX_MESSAGE_BYTES) {
             try {
--- a/balancer/src/main/java/gorsestack/wire/WatchEvent.java
+++ b/balancer/src/main/java/gorsestack/wire/WatchEvent.java
@@ -13,11 +13,12 @@
 import java.util.Map;
 
 /**
- * One event of the watch on discovery.
+ * One event of the watch on discovery. Immutable; {@link DiscoveryWatch} parses it and passes it to its listener on the event loop's
+ * thread.
  *
- * @param index version of the list with this event
- * @param update what the balancing policy is given
- * @param addresses where each endpoint listens, by its name
+ * @param index version of the list after this event
+ * @param update the update for the balancing policy
+ * @param addresses address on which each endpoint listens, by the endpoint's name
  */
 public record WatchEvent(long index, EndpointUpdate update, Map<String, InetSocketAddress> addresses) {
     private static final System.Logger LOG = System.getLogger("gorsestack.discovery");
@@ -29,26 +30,26 @@
         try {
             return read(JSON.readTree(line), null);
         } catch (JsonProcessingException e) {
-            throw new MalformedMessageException(502, "no JSON: " + e.getOriginalMessage());
+            throw new MalformedMessageException(502, "invalid JSON: " + e.getOriginalMessage());
         } catch (java.io.IOException e) {
             throw new MalformedMessageException(502, e.toString());
         }
     }
 
     /**
-     * Parses an event. An entry without name or address is skipped with one line in the log.
+     * Parses an event. An entry without a name or address is skipped with one line in the log.
      *
-     * @param as the kind of update, or null to take it from the event
+     * @param kindOverride the kind of update, or null to take it from the event
      */
-    public static WatchEvent read(JsonNode node, EndpointUpdate.Kind as) throws MalformedMessageException {
+    public static WatchEvent read(JsonNode node, EndpointUpdate.Kind kindOverride) throws MalformedMessageException {
         if (!node.path("endpoints").isArray() || !node.path("index").isNumber()) {
-            throw new MalformedMessageException(502, "a line without index and endpoints");
+            throw new MalformedMessageException(502, "the endpoint list lacks its index or its endpoints");
         }
         List<Endpoint> endpoints = new ArrayList<>();
         Map<String, InetSocketAddress> addresses = new HashMap<>();
         for (JsonNode entry : node.path("endpoints")) {
             String name = entry.path("name").asText("");
-            // An unknown state is treated as draining: no new calls.
+            // An unknown state is treated as draining, which means no new calls.
             EndpointState state = switch (entry.path("status").asText("")) {
                 case "in_service" -> EndpointState.READY;
                 case "terminated" -> EndpointState.GONE;
@@ -75,13 +76,13 @@
                     entry.path("type").asText(""),
                     entry.path("zone").asText("")));
         }
-        EndpointUpdate.Kind kind = as != null
-                ? as
+        EndpointUpdate.Kind kind = kindOverride != null
+                ? kindOverride
                 : node.path("snapshot").asBoolean(false) ? EndpointUpdate.Kind.SNAPSHOT : EndpointUpdate.Kind.DELTA;
         return new WatchEvent(node.path("index").asLong(), new EndpointUpdate(kind, endpoints), addresses);
     }
 
-    /** Parses a numeric address and port; null for anything else, as a host name would need a blocking lookup. */
+    /** Parses a numeric address and port; returns null for anything else, as a host name would need a blocking lookup. */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:]+]")) {
--- a/balancer/src/main/java/gorsestack/wire/WatchLineSplitter.java
+++ b/balancer/src/main/java/gorsestack/wire/WatchLineSplitter.java
@@ -3,8 +3,8 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Collects the bytes of a watch up to the end of one event: a line, or a JSON document that is indented over several lines. Used on the
- * event loop's thread only.
+ * Collects the bytes of a watch up to the end of one event: a line, or a JSON document that is indented over several lines. Used by
+ * {@link DiscoveryWatch} on the event loop's thread only.
  */
 final class WatchLineSplitter {
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(256);
@@ -28,12 +28,12 @@
         return next == '\n' && nestingDepth <= 0 && !inString;
     }
 
-    /** Bytes since the last event. */
+    /** Returns the number of bytes since the end of the last event. */
     int size() {
         return line.size();
     }
 
-    /** The bytes of the event that has ended; the next one begins. */
+    /** Returns the bytes of the event that has ended, and begins the next one. */
     byte[] take() {
         byte[] event = line.toByteArray();
         line.reset();
