--- a/balancer/src/main/java/gorsestack/wire/BodyRelay.java
+++ b/balancer/src/main/java/gorsestack/wire/BodyRelay.java
@@ -4,8 +4,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Streams a body that is too large to be buffered from the connection that receives it to the one that sends it on. Back pressure: the
- * source is paused while the target has more unsent bytes than the budget allows. Used on the event loop's thread only.
+ * Streams a body that is too large to be buffered from the connection that receives it to the one that sends it on: a request from a client
+ * to an upstream, or a response from an upstream to a client. For back pressure, the source is paused while the target has more unsent
+ * bytes than the budget allows. Used on the event loop's thread only.
  */
 public final class BodyRelay {
     /** The connection that receives the body. */
@@ -13,10 +14,10 @@
         /** Stops reading the body, or resumes it. */
         void pauseBody(boolean paused);
 
-        /** The target does not want the rest of the body. */
+        /** Called when the target does not want the rest of the body. */
         void bodyCancelled();
 
-        /** Part of the body has been passed on and dropped: it can't be sent a second time. */
+        /** Called when part of the body has been passed on and is no longer held: the body cannot be sent a second time. */
         void bodyNotReplayable();
     }
 
@@ -25,26 +26,28 @@
         /** Writes the next part of the body, already framed. */
         void writeBody(byte[] bytes);
 
-        /** The body has been written to its last byte. */
+        /** Called when the body has been written to its last byte. */
         void bodyComplete();
 
-        /** The body will never be complete, and the message must not be ended as if it were. */
+        /** Called when the body will never be complete; the message must not be ended as if it were. */
         void bodyFailed();
 
-        /** Bytes written to the target's channel that have not been sent yet. */
+        /** Returns the bytes written to the target's channel that have not been sent yet. */
         long unsent();
     }
 
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    /** A chunk's size in hexadecimal digits and two line ends take at most this much. */
+    /** Upper bound of the bytes that frame a chunk: its size in hexadecimal digits and two line ends. */
     private static final int CHUNK_FRAMING_BYTES = 12;
 
-    /** The length that the message's head declares, or -1 if it declares none: the body is then sent in chunks. */
+    /**
+     * The body's length as the message's head declares it, in bytes; -1 if the head declares none, and the body is then sent in chunks.
+     */
     final long length;
 
     private final BufferBudget budget;
     private final Source source;
-    /** The part received before the relay began; null once more has been passed on. */
+    /** The part of the body that was received before the relay began; null once more has been passed on. */
     private byte[] prefix;
 
     private Target target;
@@ -61,7 +64,7 @@
         budget.relayStarted();
     }
 
-    /** The header line that frames the body on its way to the target. */
+    /** Returns the header line that frames the body on its way to the target. */
     String framingHeader() {
         return length >= 0 ? "Content-Length: " + length + "\r\n" : "Transfer-Encoding: chunked\r\n";
     }
@@ -70,7 +73,7 @@
         return target != null;
     }
 
-    /** Sends the body to this target, beginning with the prefix. While only the prefix has been sent, another target may follow. */
+    /** Sends the body to this target, beginning with the prefix. Another target may follow as long as only the prefix has been sent. */
     void attach(Target newTarget) {
         target = newTarget;
         write(prefix);
@@ -82,7 +85,7 @@
         }
     }
 
-    /** The target has failed. The next one begins again with the prefix, unless more was passed on meanwhile. */
+    /** Removes a target that has failed. The next one begins again with the prefix, unless more of the body has been passed on. */
     void detach() {
         target = null;
         if (!ended) {
@@ -107,7 +110,7 @@
         target.writeBody(chunk.toByteArray());
     }
 
-    /** Passes on the next bytes from the source; they are dropped if there is no target. */
+    /** Passes on the next bytes from the source, or drops them if there is no target. */
     void relay(byte[] buffer, int offset, int count) {
         if (ended || target == null) {
             return;
@@ -126,7 +129,7 @@
         }
     }
 
-    /** A write to the target has been sent: the source is resumed once less than half of the limit is unsent. */
+    /** Records that a write to the target has been sent, and resumes the source once no more than half of the limit is unsent. */
     void targetSent() {
         if (sourcePaused && !ended && target != null && target.unsent() <= budget.relayLimit() / 2) {
             sourcePaused = false;
@@ -134,7 +137,7 @@
         }
     }
 
-    /** The source has received the body's last byte. */
+    /** Records that the source has received the body's last byte. */
     void complete() {
         complete = true;
         if (target != null) {
@@ -150,7 +153,7 @@
         target.bodyComplete();
     }
 
-    /** The source has failed before the body's end. */
+    /** Records that the source has failed before the end of the body. */
     void fail() {
         if (!ended) {
             end();
@@ -160,7 +163,7 @@
         }
     }
 
-    /** The target does not want the rest. */
+    /** Cancels the relay because the target does not want the rest of the body. */
     void cancel() {
         if (!ended) {
             end();
--- a/balancer/src/main/java/gorsestack/wire/BoundedAcceptor.java
+++ b/balancer/src/main/java/gorsestack/wire/BoundedAcceptor.java
@@ -15,16 +15,20 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * A listener that accepts connections up to a limit; more wait in the backlog. A failed accept is retried a moment later: MINA would wait
- * for a second, which is as long as some clients wait for their response. Accepts on its own thread "io"; the counters may be read on any.
+ * Accepts connections up to a limit; further ones wait in the listener's backlog. A failed accept is retried after {@link #RETRY_MS}: MINA
+ * would wait for a second, which is as long as some clients wait for their response. Used by {@link MinaNetwork}; accepts on its own thread
+ * "io", and its counters may be read on any thread.
  */
 final class BoundedAcceptor extends NioSocketAcceptor {
     private static final System.Logger LOG = System.getLogger("gorsestack.acceptor");
-    /** Between two attempts where accept fails (EMFILE, ENFILE, ENOBUFS, ENOMEM). */
+    /** Delay before the next accept after one has failed (EMFILE, ENFILE, ENOBUFS, ENOMEM), in milliseconds. */
     private static final long RETRY_MS = 5;
-    /** Between two looks where the limit is reached. */
-    private static final long AT_LIMIT_MS = 1;
-    /** While the listener closes, for which other threads wait; what is not accepted by then is reset by the system, unread. */
+    /** Interval at which the number of connections is checked again while the limit is reached, in milliseconds. */
+    private static final long LIMIT_CHECK_MS = 1;
+    /**
+     * Failed accepts after which a listener that is being closed stops accepting its backlog. Other threads wait for the close; the system
+     * resets the connections that have not been accepted by then, and their requests are not read.
+     */
     private static final int MAX_FAILURES_AT_CLOSE = 8;
 
     private static final long LOG_EVERY_NANOS = 1_000_000_000L;
@@ -34,7 +38,7 @@
     private final AtomicInteger openConnections = new AtomicInteger();
     private final NioProcessor processor;
     private final AtomicLong failures = new AtomicLong();
-    /** When a failure was last logged; of the acceptor's thread. */
+    /** Time at which a failed accept was last logged, in nanoseconds; used by the acceptor's thread only. */
     private long loggedAt = Long.MIN_VALUE;
 
     /** @param sharedPort whether another process may listen on the same address */
@@ -53,17 +57,20 @@
         return maxConnections;
     }
 
-    /** Accepted connections whose sockets are open. */
+    /** Returns the number of accepted connections whose sockets are open. */
     int openConnections() {
         return openConnections.get();
     }
 
-    /** How often accept has failed. */
+    /** Returns how often an accept has failed. */
     long failures() {
         return failures.get();
     }
 
-    /** Two processes of one balancer listen at once during an upgrade; the system distributes connections between them. */
+    /**
+     * Opens a listening socket. During an upgrade two processes of one balancer listen at once, and the system distributes connections
+     * between them.
+     */
     @Override
     protected ServerSocketChannel open(SocketAddress address) throws IOException {
         ServerSocketChannel listener = ServerSocketChannel.open();
@@ -80,7 +87,10 @@
         }
     }
 
-    /** Danger: closing a listener resets the connections in its backlog. */
+    /**
+     * Closes a listener after accepting its backlog. Without this, closing the listener would reset the connections that wait in the
+     * backlog.
+     */
     @Override
     protected void close(ServerSocketChannel listener) throws Exception {
         try {
@@ -110,7 +120,7 @@
     @Override
     protected NioSession accept(IoProcessor<NioSession> ignored, ServerSocketChannel listener) throws Exception {
         if (openConnections.get() >= maxConnections) {
-            Thread.sleep(AT_LIMIT_MS); // on its own thread; new connections wait in the backlog
+            Thread.sleep(LIMIT_CHECK_MS); // This blocks only the acceptor's own thread; new connections wait in the backlog.
             return null;
         }
         try {
@@ -133,7 +143,10 @@
         return session;
     }
 
-    /** Counts and, at most once a second, logs a failure; on the acceptor's thread. The soak test finds "accept failed" in the log. */
+    /**
+     * Counts a failed accept and logs it at most once a second. The soak test searches the log for "accept failed". Called on the
+     * acceptor's thread.
+     */
     private void acceptFailed(Exception e) {
         long count = failures.incrementAndGet();
         long now = System.nanoTime();
@@ -141,7 +154,7 @@
             loggedAt = now;
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "accept failed, {0} times so far; tried again: {1}",
+                    "accept failed, {0} times so far; retrying: {1}",
                     Long.toString(count),
                     e.toString());
         }
--- a/balancer/src/main/java/gorsestack/wire/BufferBudget.java
+++ b/balancer/src/main/java/gorsestack/wire/BufferBudget.java
@@ -3,21 +3,21 @@
 import gorsestack.settings.Limits;
 
 /**
- * Bounds the memory of all large bodies under way: how much of each may wait to be sent, and how much may be read before there is a
- * target for it. Used on the event loop's thread only.
+ * Bounds the memory of all large bodies in flight: how much of each may wait to be sent, and how much may be read before there is a target
+ * for it. Shared by all connections; used on the event loop's thread only.
  */
 public final class BufferBudget {
-    /** The least that one body may have waiting, however many there are: a smaller buffer would stall each write. */
-    private static final int LEAST_RELAY_BYTES = 4 << 10;
+    /** Bytes that one body may always have waiting, however many bodies there are: a smaller buffer would stall each write. */
+    private static final int MIN_RELAY_BYTES = 4 << 10;
 
     private final Limits limits;
     private int openRelays;
-    /** Large responses that are buffered until they are complete. */
+    /** Number of large responses that are buffered until they are complete. */
     private int bufferedResponses;
-    /** Bytes of all connections that have been read and not been parsed yet. */
+    /** Bytes that all connections together have read and not parsed yet. */
     private int readAheadBytes;
 
-    /** A budget with nothing reserved. */
+    /** Creates a budget with nothing reserved. */
     public BufferBudget(Limits limits) {
         this.limits = limits;
     }
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Reserves a place for one more large response that is buffered until it is complete; false if there is none. Until a response has
-     * been passed on in part, the call can still be retried at another upstream.
+     * Reserves a place for one more large response that is buffered until it is complete; returns false if there is none. As long as no
+     * part of a response has been passed on, the call can still be retried at another upstream.
      */
     boolean reserveBufferedResponse() {
         if (bufferedResponses >= limits.buffer().maxBufferedResponses()) {
@@ -51,9 +51,11 @@
     }
 
     /**
-     * Whether to go on reading a body that has no target yet and of which this much waits. Danger: the client's end of stream is only
-     * seen behind its body, and attempts would be started for a client that has disconnected; but bodies reach 32 MB, so that all of
-     * them together are bounded by a part of the heap.
+     * Returns whether to go on reading a body that has no target yet. The end of the client's stream is only seen behind its body; if
+     * reading stopped, attempts would be started for a client that has disconnected. Bodies reach 32 MB, so all of them together are
+     * limited to a part of the heap.
+     *
+     * @param pendingBytes how much of the body waits for a target
      */
     boolean mayReadAhead(int pendingBytes) {
         return pendingBytes <= relayLimit()
@@ -61,10 +63,13 @@
                         && readAheadBytes <= limits.buffer().totalRelayBytes() / 2);
     }
 
-    /** How many bytes one body may have waiting. Danger: with a fixed limit many bodies at a time would exceed the heap. */
+    /**
+     * Returns how many bytes of one body may wait to be sent. The limit shrinks with the number of bodies: with a fixed one, many bodies at
+     * a time would exceed the heap.
+     */
     int relayLimit() {
         return Math.max(
-                LEAST_RELAY_BYTES,
+                MIN_RELAY_BYTES,
                 Math.min(limits.buffer().relayBytes(), limits.buffer().totalRelayBytes() / Math.max(1, openRelays)));
     }
 }
--- a/balancer/src/main/java/gorsestack/wire/Channel.java
+++ b/balancer/src/main/java/gorsestack/wire/Channel.java
@@ -2,16 +2,16 @@
 
 import java.util.function.BooleanSupplier;
 
-/** What a handler may do to its connection. Called on the event loop's thread. */
+/** One connection, as its {@link ConnectionHandler} controls it. Called on the event loop's thread. */
 public interface Channel {
 
     /** Queues these bytes to be sent. */
     void write(byte[] bytes);
 
     /**
-     * The same under a condition that is checked on the sockets' thread right before the first byte is sent; if it does not hold, nothing
-     * is written and the connection is closed. Nothing else may be queued, and of the event loop's state the condition may only read
-     * volatile fields.
+     * Queues bytes under a condition that is checked on the sockets' thread right before the first byte is sent. If the condition does not
+     * hold, nothing is written and the connection is closed. Nothing else may be queued at that time, and of the event loop's state the
+     * condition may read volatile fields only.
      */
     default void write(byte[] bytes, BooleanSupplier stillWanted) {
         if (stillWanted.getAsBoolean()) {
@@ -21,40 +21,47 @@
         }
     }
 
-    /** Bytes written and not sent yet. */
+    /** Returns the bytes that have been written and not sent yet. */
     long unsent();
 
-    /** Whether the other side may still be there: false once the socket knows of its end of stream, a reset or a close here. */
+    /**
+     * Returns whether the peer may still be connected: false once the socket knows that the peer has ended its stream or reset the
+     * connection, or that this side has closed it.
+     */
     boolean open();
 
-    /** Whether something has been read that the handler has not been given yet. */
+    /** Returns whether bytes have been read that the handler has not received yet. */
     boolean hasUnhandledInput();
 
-    /** Closes at once; what is queued to be sent is lost. */
+    /** Closes the connection at once; bytes that are queued to be sent are lost. */
     void close();
 
     /**
-     * Closes in order: what was written is sent, then the output is shut and the handler's closed is called; what still arrives is read and
-     * discarded, within a limit of time and bytes. Danger: closing a socket with unread bytes resets the connection, and the peer may lose
-     * its last response.
+     * Closes the connection gracefully: what was written is sent, then the output is shut down and the handler's closed method is called.
+     * Bytes that still arrive are read and discarded, within a limit of time and bytes. Without this, closing a socket with unread bytes
+     * would reset the connection, and the peer could lose its last response.
      */
     void finish();
 
     /**
-     * Closes at once a connection on which no response is owed, unless something has been read that the handler has not been given.
-     * Nothing is read after the close: a client sends an unread request again elsewhere, but a request that was read and discarded would
-     * have no response.
+     * Closes at once a connection on which no response is owed, unless bytes have been read that the handler has not received. Nothing is
+     * read after the close: a client sends an unread request again elsewhere, but a request that was read and discarded would have no
+     * response.
      */
     default void closeUnlessInputArrived() {
         finishUnlessInputArrived();
     }
 
-    /** What arrives from now on is read and discarded, so that the end of stream behind it is seen; a flood is cut off. */
+    /**
+     * Reads and discards whatever arrives from now on, so that the end of the stream behind it is seen. A peer that sends too much is
+     * disconnected.
+     */
     void discard();
 
     /**
-     * The same as finish, unless something has been read that the handler has not been given yet: then nothing happens. Danger: a request
-     * that is read between the decision to close and the close; its client would not send it again, and it would have no response.
+     * Does the same as {@link #finish}, unless bytes have been read that the handler has not received yet: then nothing happens. This
+     * covers a request that is read between the decision to close and the close; its client would not send it again, and it would have no
+     * response.
      */
     void finishUnlessInputArrived();
 
--- a/balancer/src/main/java/gorsestack/wire/ConnectionHandler.java
+++ b/balancer/src/main/java/gorsestack/wire/ConnectionHandler.java
@@ -2,23 +2,30 @@
 
 /** Receives the events of one connection, all on the event loop's thread. */
 public interface ConnectionHandler {
-    /** The connection is up. */
+    /** Called when the connection has been established. */
     void opened(Channel channel);
 
-    /** Bytes have arrived; at is when they were read from the socket, on the event loop's clock. */
-    void received(byte[] bytes, long at);
+    /**
+     * Called when bytes have arrived.
+     *
+     * @param readAt when they were read from the socket, on the event loop's clock
+     */
+    void received(byte[] bytes, long readAt);
 
-    /** One write has been sent to its last byte. */
+    /** Called when one write has been sent to its last byte. */
     void sent();
 
-    /** The peer has ended its stream in order; closed follows. */
+    /** Called when the peer has ended its stream in order; {@link #closed} follows. */
     default void ended() {}
 
-    /** The connection never came up for a reason on this machine (descriptors, buffers, addresses, routes); nothing follows. */
+    /**
+     * Called when the connection could not be established for a reason on this machine (descriptors, buffers, addresses, routes); no other
+     * event follows.
+     */
     default void failedHere() {
         closed();
     }
 
-    /** The connection has ended or never came up; nothing follows, but the call may come twice. */
+    /** Called when the connection has ended or could not be established. No other event follows, but this method may be called twice. */
     void closed();
 }
--- a/balancer/src/main/java/gorsestack/wire/HttpParser.java
+++ b/balancer/src/main/java/gorsestack/wire/HttpParser.java
@@ -6,13 +6,13 @@
 import java.util.Arrays;
 
 /**
- * Incremental parser of one HTTP/1.1 request or response, fed with the bytes of a connection in pieces of any size. Used on the event
- * loop's thread only.
+ * Incremental parser of one HTTP/1.1 request or response, fed with the bytes of a connection in pieces of any size. A connection creates
+ * one for each message; used on the event loop's thread only.
  */
 public final class HttpParser {
     /** Receives the body's bytes as they arrive. */
     interface BodySink {
-        /** Takes a part of the buffer, which is not the sink's to retain. */
+        /** Takes a part of the buffer. The sink must not retain the buffer. */
         void bytes(byte[] buffer, int offset, int length) throws MalformedMessageException;
     }
 
@@ -29,23 +29,23 @@
 
     private final boolean request;
     private final int maxHeadBytes;
-    /** A body up to this length is buffered. */
+    /** Longest body that is buffered, in bytes. */
     private final int maxBufferedBytes;
 
     private final long maxBodyBytes;
     private BodySink sink;
     private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-    /** The head, or the line of a chunked body, as far as it has arrived. */
+    /** The bytes of the head, or of the current line of a chunked body, that have arrived so far. */
     private ByteArrayOutputStream line = new ByteArrayOutputStream(512);
 
     private State state = State.HEAD;
     private MessageHead head;
-    /** Bytes that remain of the body or of the current chunk. */
+    /** Bytes that have not arrived yet of the body or of the current chunk. */
     private long remaining;
 
     private long contentLength = -1;
     private long bodyBytes;
-    /** Where the head's current line begins. */
+    /** Offset of the head's current line. */
     private int lineStart;
 
     private int interimBytes;
@@ -58,17 +58,17 @@
         this.sink = sink != null ? sink : this::buffer;
     }
 
-    /** A parser of a client's request. */
+    /** Creates a parser of a client's request. */
     public static HttpParser request(Limits limits) {
         return new HttpParser(true, limits, null);
     }
 
-    /** A parser of an upstream's response. */
+    /** Creates a parser of an upstream's response. */
     static HttpParser response(Limits limits) {
         return new HttpParser(false, limits, null);
     }
 
-    /** A parser of a response with an unbounded body, which all goes to the sink. */
+    /** Creates a parser of a response with an unbounded body, all of which goes to the sink. */
     static HttpParser stream(Limits limits, BodySink sink) {
         return new HttpParser(false, limits, sink);
     }
@@ -77,30 +77,30 @@
         body.write(bytes, offset, length);
     }
 
-    /** Whether the body is, or is declared to be, too large to be buffered: the caller has to call {@link #streamTo} then. */
+    /** Returns whether the body is, or is declared to be, too large to be buffered. The caller then has to call {@link #streamTo}. */
     boolean large() {
         return head != null
                 && state != State.DONE
                 && (body.size() > maxBufferedBytes || contentLength > maxBufferedBytes);
     }
 
-    /** The body's length as the head declares it, or -1 if it does not. */
+    /** Returns the body's length as the head declares it, or -1 if the head declares none. */
     long contentLength() {
         return contentLength;
     }
 
-    /** Bytes of the body received so far. */
+    /** Returns the number of bytes of the body received so far. */
     long bodyBytes() {
         return bodyBytes;
     }
 
-    /** Drops what has been buffered of the body; all that follows goes to this sink. */
+    /** Drops the buffered part of the body and passes all that follows to this sink. */
     void streamTo(BodySink newSink) {
         body = new ByteArrayOutputStream(0);
         sink = newSink;
     }
 
-    /** The peer has ended its stream in order: that completes a response without a length. */
+    /** Records that the peer has ended its stream in order, which completes a response without a length. */
     void end() {
         if (state == State.UNTIL_CLOSE) {
             state = State.DONE;
@@ -114,29 +114,29 @@
         }
     }
 
-    /** Whether the message is complete. */
+    /** Returns whether the message is complete. */
     public boolean done() {
         return state == State.DONE;
     }
 
-    /** Whether any byte of the message has arrived. */
+    /** Returns whether any byte of the message has arrived. */
     boolean begun() {
         return head != null || line.size() > 0;
     }
 
-    /** The head; null until it is complete. */
+    /** Returns the head, or null until it is complete. */
     public MessageHead head() {
         return head;
     }
 
-    /** What has been buffered of the body. */
+    /** Returns the buffered part of the body. */
     public byte[] body() {
         return body.toByteArray();
     }
 
-    /** Parses bytes until the message is complete; returns the offset of the first one not used. */
-    public int feed(byte[] in, int at, int end) throws MalformedMessageException {
-        int i = at;
+    /** Parses bytes until the message is complete; returns the offset of the first byte that was not used. */
+    public int feed(byte[] in, int begin, int end) throws MalformedMessageException {
+        int i = begin;
         while (i < end && state != State.DONE) {
             switch (state) {
                 case UNTIL_CLOSE -> {
@@ -186,7 +186,7 @@
     private void headLineComplete() throws MalformedMessageException {
         int length = line.size() - lineStart;
         if (length == 2 && lineStart == 0) {
-            line.reset(); // an empty line ahead of a message is ignored
+            line.reset(); // An empty line ahead of a message is ignored.
         } else if (length <= 2) {
             byte[] all = line.toByteArray();
             if (length == 1 || all[lineStart] != '\r') {
@@ -234,10 +234,11 @@
         }
         int status = request ? 0 : (int) number(parsed.start[1], 10);
         if (!request && status >= 100 && status < 200) {
-            // An interim response; the final one follows. Danger: interim responses without an end.
+            // An interim response is skipped, and the final one follows. Their total size is limited, as an upstream
+            // could send interim responses without an end.
             interimBytes += bytes.length;
             if (interimBytes > maxHeadBytes || status == 101) {
-                throw new MalformedMessageException(502, "interim answers without an end");
+                throw new MalformedMessageException(502, "interim responses exceed the size limit, or switch protocols");
             }
             return;
         }
@@ -248,8 +249,8 @@
     private void chooseFraming(int status) throws MalformedMessageException {
         String coding = head.field("transfer-encoding");
         String length = head.field("content-length");
-        // Danger: with two framings another parser may use the other one and see a message that nobody sent (request
-        // smuggling).
+        // A message with two framings is rejected: another parser may use the other framing and see a message that
+        // nobody sent (request smuggling).
         if (coding != null && (length != null || !coding.equalsIgnoreCase("chunked"))) {
             throw new MalformedMessageException(400, "a body framed in a way that is not known");
         }
@@ -269,7 +270,7 @@
         }
     }
 
-    /** At most nine digits, so that no sum of lengths overflows; leading zeros do not count. */
+    /** Parses a number of at most nine digits, so that no sum of lengths overflows; leading zeros do not count. */
     private static long number(String digits, int radix) throws MalformedMessageException {
         int zeros = 0;
         while (zeros < digits.length() - 9 && digits.charAt(zeros) == '0') {
--- a/balancer/src/main/java/gorsestack/wire/LingeringSessions.java
+++ b/balancer/src/main/java/gorsestack/wire/LingeringSessions.java
@@ -4,12 +4,13 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * Connections whose output is shut and that only wait for their client to close, the oldest first. Used on the event loop's thread only.
+ * Connections whose output is shut down and that only wait for their client to close, oldest first. Shared by all connections of
+ * {@link MinaNetwork}; used on the event loop's thread only.
  */
 final class LingeringSessions {
     private final ArrayDeque<IoSession> oldestFirst = new ArrayDeque<>();
     private final BoundedAcceptor acceptor;
-    /** This many accepted connections below the acceptor's limit, lingering ones are closed early. */
+    /** Lingering connections are closed early once fewer than this many connections remain below the acceptor's limit. */
     private final int spareConnections;
 
     LingeringSessions(BoundedAcceptor acceptor, int spareConnections) {
@@ -25,7 +26,10 @@
         oldestFirst.remove(session);
     }
 
-    /** Danger: connections that have had their last response keep out clients that have a request. */
+    /**
+     * Closes the oldest lingering connections when the acceptor is near its limit. Without this, connections that have had their last
+     * response would keep out clients that have a request.
+     */
     void closeExcess() {
         for (int excess = acceptor.openConnections() - (acceptor.maxConnections() - spareConnections);
                 excess > 0 && !oldestFirst.isEmpty();
--- a/balancer/src/main/java/gorsestack/wire/MalformedMessageException.java
+++ b/balancer/src/main/java/gorsestack/wire/MalformedMessageException.java
@@ -2,13 +2,17 @@
 
 import java.io.IOException;
 
-/** Bytes that are no valid message; the status is the response to a client that sent them. */
+/** Thrown for bytes that are not a valid message. A client that sent them receives a response with this status. */
 public final class MalformedMessageException extends IOException {
     private static final long serialVersionUID = 1L;
-    /** The status code of the response. */
+    /** Status code of the response. */
     public final int status;
 
-    /** @param reason the text of the response's body and of the log */
+    /**
+     * Creates an exception for an invalid message.
+     *
+     * @param reason the text of the response's body and of the log
+     */
     public MalformedMessageException(int status, String reason) {
         super(reason);
         this.status = status;
--- a/balancer/src/main/java/gorsestack/wire/MessageHead.java
+++ b/balancer/src/main/java/gorsestack/wire/MessageHead.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** The head of a message: the bytes as received, with its header fields by their names in lower case. Immutable. */
+/** The head of a message: the bytes as received, and the header fields by their names in lower case. Immutable. */
 public final class MessageHead {
     private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
@@ -19,16 +19,16 @@
             "content-length",
             "expect");
 
-    /** Characters that a field's name may not hold (RFC 9110, section 5.6.2). */
+    /** Characters that a field's name must not contain (RFC 9110, section 5.6.2). */
     private static final String SEPARATORS = "\"(),/:;<=>?@[\\]{}";
 
-    /** The start line's two or three parts: method, target and version, or version, status and reason. */
+    /** The two or three parts of the start line: method, target and version, or version, status and reason. */
     public final String[] start;
 
     private final byte[] bytes;
     private final String[] names;
     private final String[] values;
-    /** Where each line begins; one more entry, for the end of the last line. */
+    /** Offset of each line; one more entry holds the end of the last line. */
     private final int[] lineOffsets;
 
     /**
@@ -54,14 +54,14 @@
             while (bytes[end] != '\n') {
                 end++;
             }
-            // Danger: a line end that another parser reads differently can hide a second message in this one (request
-            // smuggling).
+            // A bare line feed is rejected: another parser may read it differently and find a second message hidden in
+            // this one (request smuggling).
             if (end == lineStart || bytes[end - 1] != '\r') {
                 throw new MalformedMessageException(400, "a line ends without a carriage return");
             }
             String line = new String(bytes, lineStart, end - 1 - lineStart, StandardCharsets.ISO_8859_1);
-            // Danger: an upstream would close its connection on a request it cannot parse. In a response only the start
-            // line must be clean.
+            // Control characters are rejected, because an upstream closes its connection on a request that it cannot
+            // parse. In a response only the start line is checked.
             if ((strict || i == 0) && !printable(line)) {
                 throw new MalformedMessageException(400, "a control character in the head");
             }
@@ -90,7 +90,7 @@
         values[index] = line.substring(colon + 1).strip();
     }
 
-    /** Joins folded lines in place: a field's value may continue in the next line, if that begins with a blank. */
+    /** Joins folded lines in place: the value of a field may continue in the next line if that begins with a blank. */
     private static void unfold(byte[] bytes) {
         boolean inField = false;
         for (int i = 0; i + 2 < bytes.length; i++) {
@@ -108,7 +108,7 @@
         return text.chars().allMatch(c -> (c >= ' ' && c <= '~') || c == '\t');
     }
 
-    /** The field's value, null if it is absent; the values of a repeated field are joined by commas, as in RFC 9110. */
+    /** Returns the field's value, or null if it is absent. The values of a repeated field are joined by commas, as in RFC 9110. */
     public String field(String name) {
         String found = null;
         for (int i = 0; i < names.length; i++) {
@@ -119,7 +119,7 @@
         return found;
     }
 
-    /** Whether the field occurs more than once. */
+    /** Returns whether the field occurs more than once. */
     boolean isRepeated(String name) {
         int count = 0;
         for (String each : names) {
@@ -128,7 +128,7 @@
         return count > 1;
     }
 
-    /** Whether a field with a comma-separated list has this element, in whatever case. */
+    /** Returns whether a field with a comma-separated list has this element, ignoring case. */
     boolean hasToken(String name, String token) {
         String value = field(name);
         if (value != null) {
@@ -141,7 +141,7 @@
         return false;
     }
 
-    /** Copies the header lines unchanged, without hop-by-hop fields and those named. */
+    /** Copies the header lines unchanged, without the hop-by-hop fields and the excluded ones. */
     void copyFields(ByteArrayOutputStream out, String... excluded) {
         Set<String> skipped = new HashSet<>(HOP_BY_HOP);
         skipped.addAll(Set.of(excluded));
--- a/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
+++ b/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
@@ -17,13 +17,16 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * Sockets by Apache MINA: one acceptor and one connector on one processor, three threads named "io". MINA's callbacks run on the processor's
- * thread and hand everything to the event loop, in the order in which it was read.
+ * Implements the sockets with Apache MINA: one acceptor and one connector on one processor, on three threads named "io". MINA's callbacks
+ * run on the processor's thread and pass everything to the event loop, in the order in which it was read.
  */
 public final class MinaNetwork implements Network {
     private static final String HANDLER = "handler";
     private static final String CHANNEL = "channel";
-    /** One read of one socket: holds a usual response, and times hundreds of connections a small part of the heap. */
+    /**
+     * Maximum number of bytes that one read of a socket returns: enough for a usual response, and for hundreds of connections together a
+     * small part of the heap.
+     */
     private static final int MAX_READ_BYTES = 16 << 10;
 
     private final EventLoop eventLoop;
@@ -40,12 +43,16 @@
     private final SessionChannel.Shared shared;
     private final NioSocketConnector connector = new NioSocketConnector(threads, processor);
 
-    /** Sockets of a process that is the only one to listen on its address. */
+    /** Creates the sockets of a process that is the only one to listen on its address. */
     public MinaNetwork(Limits limits, EventLoop eventLoop) {
         this(limits, eventLoop, false);
     }
 
-    /** @param sharedPort whether another process of this balancer may listen on the same address */
+    /**
+     * Creates the sockets of a process.
+     *
+     * @param sharedPort whether another process of this balancer may listen on the same address
+     */
     public MinaNetwork(Limits limits, EventLoop eventLoop, boolean sharedPort) {
         this.eventLoop = eventLoop;
         this.limits = limits;
@@ -53,7 +60,7 @@
         lingering = new LingeringSessions(acceptor, limits.client().spareConnections());
         shared = new SessionChannel.Shared(limits, eventLoop, processor, lingering, new AtomicLong());
         configure(connector.getSessionConfig());
-        // Handlers have their own connect time-outs; this one only ends connects that they have given up.
+        // Handlers have connect timeouts of their own; this one only ends connections that they have given up.
         connector.setConnectTimeoutMillis(limits.upstream().maxConnectNanos() / 1_000_000);
         connector.setHandler(new SessionCallbacks(null));
     }
@@ -73,7 +80,10 @@
         config.setIdleTime(IdleStatus.BOTH_IDLE, 0);
     }
 
-    /** Danger: a SIGTERM during the start; a listener opened after {@link #stopAccepting} would never be closed. */
+    /**
+     * Listens, unless {@link #stopAccepting} was called before. After a SIGTERM during the start, a listener that is opened later would
+     * never be closed.
+     */
     @Override
     public synchronized void listen(InetSocketAddress address, Supplier<ConnectionHandler> handlers)
             throws IOException {
@@ -118,9 +128,9 @@
         });
     }
 
-    /** MINA's callbacks, on the processor's thread; handlers are called on the event loop's. */
+    /** Receives MINA's callbacks on the processor's thread and calls the handlers on the event loop's thread. */
     private final class SessionCallbacks extends IoHandlerAdapter {
-        /** Makes the handler of an accepted connection; null for connections that this side opens. */
+        /** Creates the handler of an accepted connection; null for connections that this side opens. */
         private final Supplier<ConnectionHandler> handlers;
 
         SessionCallbacks(Supplier<ConnectionHandler> handlers) {
--- a/balancer/src/main/java/gorsestack/wire/Network.java
+++ b/balancer/src/main/java/gorsestack/wire/Network.java
@@ -4,29 +4,29 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/** The sockets. Every callback to a handler is made on the event loop's thread. */
+/** Opens and accepts connections. Every callback to a handler is made on the event loop's thread. */
 public interface Network {
 
-    /** Accepts clients' connections on this address, each with a handler of its own. */
+    /** Accepts client connections on this address, each with a handler of its own. */
     void listen(InetSocketAddress address, Supplier<ConnectionHandler> handlers) throws IOException;
 
-    /** Accepts connections on another address too, with a limit of its own; they do not count as clients'. */
+    /** Accepts connections on another address too, with a limit of its own; they do not count as client connections. */
     void listenSeparately(InetSocketAddress address, int maxConnections, Supplier<ConnectionHandler> handlers)
             throws IOException;
 
-    /** Sets how many clients' connections may be open. */
+    /** Sets how many client connections may be open. */
     void setMaxConnections(int maxConnections);
 
-    /** Accepts the connections that wait in the backlog, then closes the clients' listener; none is opened after it. */
+    /** Accepts the connections that wait in the backlog, then closes the listener for clients; it is not opened again. */
     void stopAccepting();
 
-    /** Clients' connections whose sockets are open, those included that no handler has been told of yet. */
+    /** Returns the number of client connections whose sockets are open, including those whose handler has not been notified yet. */
     int accepted();
 
     /**
-     * Opens a connection: the handler's opened or closed is called, within connectBound. A connect cannot be cancelled; a handler that no
-     * longer wants the connection closes it as it opens. Danger: MINA counts a connect twice that is cancelled as it completes, and delays
-     * all later ones.
+     * Opens a connection. Either the handler's opened method or its closed or failedHere method is called, at the latest when the limit
+     * {@code UpstreamLimits.maxConnectNanos} has passed. A connect cannot be cancelled; a handler that no longer needs the connection
+     * closes it as it opens. MINA counts a connect twice that is cancelled as it completes, and delays all later ones.
      */
     void connect(InetSocketAddress address, ConnectionHandler handler);
 }
--- a/balancer/src/main/java/gorsestack/wire/SessionChannel.java
+++ b/balancer/src/main/java/gorsestack/wire/SessionChannel.java
@@ -10,13 +10,13 @@
 
 /**
  * One connection of {@link MinaNetwork}. The methods of {@link Channel} are called on the event loop's thread, those of
- * {@link SocketProcessor.Watcher}, {@link #countRead} and {@link #countDiscarded} on the processor's.
+ * {@link SocketProcessor.Watcher}, {@link #countRead} and {@link #countDiscarded} on the processor's thread.
  *
- * <p>Danger: a sender at full speed fills the heap with bytes that the event loop has not handled yet; reading is paused while too many are
- * queued, for this connection or for all.
+ * <p>Reading is paused while too many bytes are queued for the event loop, for this connection or for all of them: otherwise a sender at
+ * full speed would fill the heap with bytes that have not been handled yet.
  */
 final class SessionChannel implements Channel, SocketProcessor.Watcher {
-    /** What all connections of a network share. */
+    /** The objects and the counter that all connections of a network share. */
     record Shared(
             Limits limits,
             EventLoop eventLoop,
@@ -28,23 +28,23 @@
     private final NioSession session;
     private final ConnectionHandler handler;
     private volatile WriteFuture lastWrite;
-    /** Bytes read that the event loop has not handled yet; guarded by this, as are the next two. */
+    /** Bytes that were read and that the event loop has not handled yet; guarded by this object, as are the next two fields. */
     private int queuedBytes;
 
     private boolean pausedByHandler;
     private boolean readSuspended;
-    /** Reads so far; written by the processor's thread alone. */
+    /** Number of reads so far; written by the processor's thread only. */
     private volatile int readCount;
-    /** Reads that the handler has been given; of the event loop's thread. */
+    /** Number of reads that the handler has received; used on the event loop's thread. */
     private int handledCount;
 
     private boolean finishing;
     private volatile boolean discarding;
-    /** Whether the output has been shut; of the processor's thread, as is the next. */
+    /** Whether the output has been shut down; used on the processor's thread, as is the next field. */
     private boolean outputShut;
 
     private int discardedBytes;
-    /** Checked once, before the next write; null if there is nothing to check. */
+    /** The condition to be checked once, before the next write; null if there is none. */
     private volatile BooleanSupplier writeCondition;
 
     private volatile boolean inputEnded;
@@ -109,8 +109,9 @@
     }
 
     /**
-     * Danger: a client that never reads its last response would keep its connection for good. One that has sent another request meanwhile
-     * is not ending any more, and its next response may be on its way.
+     * Closes a connection whose last response is not read any further. Without this, a client that never reads its last response would keep
+     * its connection permanently. If the client has sent another request in the meantime, the connection is no longer ending and its next
+     * response may be on its way.
      */
     private void closeIfWriteStalls(long unsentBefore, BooleanSupplier stillEnding) {
         shared.eventLoop()
@@ -139,8 +140,8 @@
     }
 
     /**
-     * On the processor's thread. Danger: a request that has arrived and is not read yet; it is read now, as once read after the end it
-     * would be discarded.
+     * Ends the connection on the processor's thread, unless something has been read. A request that has arrived and has not been read yet
+     * is read now: if it were read after the end, it would be discarded.
      */
     private void endUnlessRead(int expectedReads, Runnable end) {
         if (readCount == expectedReads && !session.isClosing()) {
@@ -160,7 +161,7 @@
         }
     }
 
-    /** On the processor's thread: sends the end of the stream, and closes the connection after the linger time. */
+    /** Sends the end of the stream, and closes the connection after the linger time. Called on the processor's thread. */
     private void shutOutput() {
         if (outputShut || session.isClosing()) {
             return;
@@ -186,22 +187,25 @@
         });
     }
 
-    /** Whether what is read is thrown away. */
+    /** Returns whether the bytes that are read are discarded. */
     boolean discarding() {
         return discarding;
     }
 
-    @SuppressWarnings("NonAtomicVolatileUpdate") // written by the processor's thread alone
+    @SuppressWarnings("NonAtomicVolatileUpdate") // Written by the processor's thread only.
     void countRead() {
         readCount++;
     }
 
-    /** On the event loop's thread: the handler is given one read. */
+    /** Counts a read that the handler receives; called on the event loop's thread. */
     void countHandled() {
         handledCount++;
     }
 
-    /** Danger: what a bad client still sends, 60 MB at full speed, costs as much as a good client's call. */
+    /**
+     * Counts discarded bytes and stops reading at a limit. Without this, the bytes that a misbehaving client still sends, 60 MB at full
+     * speed, would cost as much as a call of another client.
+     */
     void countDiscarded(int bytes) {
         discardedBytes += bytes;
         if (outputShut && discardedBytes > shared.limits().buffer().bodyBytes()) {
@@ -222,7 +226,7 @@
         updateReading();
     }
 
-    /** Bytes were read, or, with a negative number, handled. */
+    /** Counts bytes that were read or, with a negative number, handled. */
     synchronized void addQueued(int change) {
         queuedBytes += change;
         shared.queuedBytes().addAndGet(change);
@@ -230,7 +234,7 @@
     }
 
     private void updateReading() {
-        // Over the limit of all connections, each may have one read queued.
+        // Once the limit for all connections is exceeded, each may still have one read queued.
         Limits limits = shared.limits();
         boolean suspend = pausedByHandler
                 || queuedBytes
--- a/balancer/src/main/java/gorsestack/wire/SocketErrors.java
+++ b/balancer/src/main/java/gorsestack/wire/SocketErrors.java
@@ -7,17 +7,19 @@
 import java.util.List;
 
 /**
- * Classifies errors of sockets: of this machine or of the peer, transient or lasting. The JDK gives the system's error number only as the
- * text of an exception. Stateless; used on the sockets' threads.
+ * Classifies socket errors: whether they come from this machine or from the peer, and whether they are transient. The JDK gives the
+ * system's error number only as the text of an exception. Stateless; used on the sockets' threads.
  */
 final class SocketErrors {
-    /** ENOBUFS, ENOMEM, EAGAIN, EINTR: the connection is intact, and the same call may succeed a moment later. */
+    /** Texts of ENOBUFS, ENOMEM, EAGAIN and EINTR: the connection is intact, and the same call may succeed a moment later. */
     private static final List<String> TRANSIENT = List.of(
             "No buffer space available",
             "Cannot allocate memory",
             "Resource temporarily unavailable",
             "Interrupted system call");
-    /** EMFILE, ENFILE, ENETUNREACH, EPERM: no packet has left this machine, as with the above. */
+    /**
+     * Texts of EMFILE, ENFILE, ENETUNREACH, ENETDOWN, EPERM and EADDRNOTAVAIL: as with the errors above, no packet has left this machine.
+     */
     private static final List<String> LOCAL = List.of(
             "Too many open files",
             "Network is unreachable",
@@ -27,12 +29,12 @@
 
     private SocketErrors() {}
 
-    /** Whether a read or write that failed with this may be retried on the same connection. */
+    /** Returns whether a read or write that failed with this error may be retried on the same connection. */
     static boolean isTransient(IOException failure) {
         return startsWithAny(failure, TRANSIENT);
     }
 
-    /** Whether a connect failed on this machine, so that it says nothing about the peer. */
+    /** Returns whether a connect failed on this machine, so that its error does not show anything about the peer. */
     static boolean isLocal(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
             if (cause instanceof BindException || startsWithAny(cause, LOCAL) || startsWithAny(cause, TRANSIENT)) {
--- a/balancer/src/main/java/gorsestack/wire/SocketProcessor.java
+++ b/balancer/src/main/java/gorsestack/wire/SocketProcessor.java
@@ -12,33 +12,36 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * MINA's reader and writer of all sockets, on one thread "io", with these changes:
+ * MINA's processor, which reads and writes all sockets of {@link MinaNetwork} on one thread "io", with these changes:
  * <ul>
- * <li>the interest of a socket is changed on the processor's thread alone; changed concurrently with the selector, a change may take effect
- * a second late;</li>
- * <li>a read or write with a transient error (ENOBUFS, ENOMEM) is retried, where MINA would close the connection;</li>
- * <li>what was read before an error is delivered first, where MINA would drop it;</li>
- * <li>a condition may be checked right before a message is sent.</li>
+ * <li>The interest of a socket is changed on the processor's thread only; a change that is made concurrently with the selector may take
+ * effect a second late.
+ * <li>A read or write with a transient error (ENOBUFS, ENOMEM) is retried, where MINA would close the connection.
+ * <li>Bytes that were read before an error are delivered first, where MINA would drop them.
+ * <li>A condition may be checked right before a message is sent.
  * </ul>
  */
 final class SocketProcessor extends NioProcessor {
-    /** Callbacks for one connection, on the processor's thread. */
+    /** Receives callbacks for one connection, on the processor's thread. */
     interface Watcher {
-        /** Whether the message to be sent now is still wanted; checked once for each message written with a condition. */
+        /**
+         * Returns whether the message that is about to be sent is still wanted. Called before each write to the socket; a condition is
+         * checked once.
+         */
         boolean mayWrite();
 
-        /** The peer has ended its stream; called before what was read with it is delivered. */
+        /** Called when the peer has ended its stream, before the bytes that were read with the end are delivered. */
         void inputEnded();
     }
 
-    /** The session attribute that holds its watcher. */
+    /** Name of the session attribute that holds the connection's watcher. */
     static final String WATCHER = "watcher";
 
-    /** The session attribute that holds an error to be raised by the next read. */
+    /** Name of the session attribute that holds an error to be thrown by the next read. */
     private static final String PENDING_FAILURE = "failed";
-    /** Between two attempts of a call with a transient error. */
+    /** Delay before a call with a transient error is tried again, in milliseconds. */
     private static final long RETRY_MS = 1;
-    /** Buffer for one read outside MINA's own loop. */
+    /** Size of the buffer for one read outside MINA's own loop. */
     private static final int SINGLE_READ_BYTES = 2 << 10;
 
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
@@ -49,7 +52,7 @@
         super(threads);
     }
 
-    /** How often a read or write has had a transient error. */
+    /** Returns how often a read or write has had a transient error. */
     long retries() {
         return retries.get();
     }
@@ -75,7 +78,10 @@
         }
     }
 
-    /** Danger: a session whose registration fails would count as open for good. */
+    /**
+     * Registers a session and marks it as closed if that fails. Without this, a session whose registration fails would count as open
+     * permanently.
+     */
     @Override
     protected void init(NioSession session) throws Exception {
         try {
@@ -106,13 +112,13 @@
             if (buffer.position() == 0) {
                 throw e;
             }
-            // The system reports a reset only once; the next read, which follows at once, raises it again.
+            // The system reports a reset only once; the next read, which follows at once, throws it again.
             session.setAttribute(PENDING_FAILURE, e);
             return 0;
         }
     }
 
-    /** Reads what may have arrived by now, as MINA would; from a task only. */
+    /** Reads the bytes that may have arrived by now, as MINA would. Called from a task only. */
     void readNow(NioSession session) {
         IoBuffer buffer = IoBuffer.allocate(SINGLE_READ_BYTES);
         try {
@@ -153,7 +159,7 @@
         }
     }
 
-    /** Sends the end of the stream; reading goes on. From a task only. */
+    /** Shuts down the output, which sends the end of the stream; reading continues. Called from a task only. */
     void shutOutput(NioSession session) throws IOException {
         for (SelectionKey key : selector.keys()) {
             if (key.attachment() == session && key.channel() instanceof SocketChannel socket) {
@@ -161,7 +167,7 @@
                 return;
             }
         }
-        throw new IOException("no such session");
+        throw new IOException("the session is not registered with the selector");
     }
 
     @Override
