--- a/balancer/src/test/java/gorsestack/wire/ClientConnectionStatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/ClientConnectionStatesTest.java
@@ -9,15 +9,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The states of a client connection: all sequences of a few events to a stated length, each against a plain model of the responses that
- * are owed. A planted fault shows that the model can fail.
+ * Runs every sequence of a few events on a client connection and compares the responses with a simple model of those that are owed. Guards
+ * against responses that are missing, sent without a request or written after the end, as happens when a request arrives while the
+ * connection is being closed. An injected fault shows that the check can fail.
  */
 class ClientConnectionStatesTest {
     private static final Limits LIMITS = TestLimits.forMembershipMode("subscribe");
     private static final String REQUEST = "GET /read HTTP/1.1\r\nX-Correlation-Id: c\r\nX-Time-Left: 900m\r\n\r\n";
     private static final String FIRST_PART = REQUEST.substring(0, 20);
     private static final String SECOND_PART = REQUEST.substring(20);
-    private static final String WRITTEN_AFTER_END = "written after the end";
+    private static final String WRITTEN_AFTER_END = "bytes were written after the end of the connection";
 
     private enum Event {
         COMPLETE_REQUEST,
@@ -30,8 +31,8 @@
         TIME_PASSES
     }
 
-    /** Accepts calls and counts them. */
-    private static final class RecordingIntake implements ClientRequestHandler {
+    /** Accepts calls and records the events of the connection. */
+    private static final class RecordingHandler implements ClientRequestHandler {
         int calls;
         int callsOfDisconnectedClients;
         int closedConnections;
@@ -85,24 +86,24 @@
         }
     }
 
-    /** One sequence of events on one connection. */
-    private static final class Play {
-        /** The planted fault: the connection is dropped without a look at what was read. */
+    /** Applies one sequence of events to one connection. */
+    private static final class SequenceRun {
+        /** The injected fault: the connection is dropped without regard to what was read. */
         private final boolean dropsWhenIdle;
 
         private final ManualEventLoop eventLoop = new ManualEventLoop(1_000_000);
-        private final RecordingIntake intake = new RecordingIntake();
-        private final ClientConnection connection = new ClientConnection(LIMITS, eventLoop, intake);
+        private final RecordingHandler handler = new RecordingHandler();
+        private final ClientConnection connection = new ClientConnection(LIMITS, eventLoop, handler);
         private final RecordingChannel channel = new RecordingChannel(eventLoop, connection, null);
         private int responses;
         private int completeRequests;
         private boolean requestIncomplete;
 
-        Play(boolean dropsWhenIdle) {
+        SequenceRun(boolean dropsWhenIdle) {
             this.dropsWhenIdle = dropsWhenIdle;
         }
 
-        /** Returns what is wrong after the sequence, or null. */
+        /** Returns what is wrong after the sequence, or null if nothing is. */
         String run(List<Event> sequence) {
             connection.opened(channel);
             for (Event event : sequence) {
@@ -111,7 +112,7 @@
                     return WRITTEN_AFTER_END;
                 }
             }
-            boolean endedEarly = !channel.open() && intake.closedConnections > 0;
+            boolean endedEarly = !channel.open() && handler.closedConnections > 0;
             respondToPipelinedCalls(sequence.size());
             if (channel.writesAfterEnd > 0) {
                 return WRITTEN_AFTER_END;
@@ -125,7 +126,7 @@
                 case PART_OF_REQUEST -> readPartOfRequest();
                 case RUN_PENDING -> eventLoop.runPending();
                 case RESPOND -> {
-                    if (intake.callInFlight) {
+                    if (handler.callInFlight) {
                         respond();
                     }
                 }
@@ -136,7 +137,7 @@
                         connection.closeIfIdle();
                     }
                 }
-                case START_CLOSING -> intake.closing = true;
+                case START_CLOSING -> handler.closing = true;
                 case CLIENT_DISCONNECTS -> channel.disconnect();
                 case TIME_PASSES -> eventLoop.advance(2_600);
             }
@@ -158,25 +159,27 @@
         }
 
         private void respond() {
-            intake.callInFlight = false;
+            handler.callInFlight = false;
             responses++;
             connection.respond(Response.own(200, "", "x"));
         }
 
-        private void respondToPipelinedCalls(int mostCalls) {
+        private void respondToPipelinedCalls(int maxCalls) {
             eventLoop.runPending();
-            for (int i = 0; i < mostCalls && intake.callInFlight; i++) {
+            for (int i = 0; i < maxCalls && handler.callInFlight; i++) {
                 respond();
                 eventLoop.runPending();
             }
             eventLoop.advance(10_000);
         }
 
-        /** Each request that was read completely on an open connection has its response, unless its client has disconnected. */
+        /**
+         * Returns null if each request that was read completely on an open connection has its response, unless its client has disconnected.
+         */
         private String failure(boolean clientDisconnected, boolean endedEarly) {
             int written = channel.output.toString().split("HTTP/1.1 200", -1).length - 1;
-            if (written > completeRequests || intake.calls != responses + intake.callsOfDisconnectedClients) {
-                return intake.calls + " calls, " + responses + " responses, " + intake.callsOfDisconnectedClients
+            if (written > completeRequests || handler.calls != responses + handler.callsOfDisconnectedClients) {
+                return handler.calls + " calls, " + responses + " responses, " + handler.callsOfDisconnectedClients
                         + " disconnected, " + written + " written";
             }
             if (!clientDisconnected && written < completeRequests) {
@@ -188,12 +191,12 @@
 
     private static List<Event> firstFailure(int length, boolean dropsWhenIdle) {
         return EventSequences.firstFailure(
-                List.of(Event.values()), length, sequence -> new Play(dropsWhenIdle).run(sequence));
+                List.of(Event.values()), length, sequence -> new SequenceRun(dropsWhenIdle).run(sequence));
     }
 
     @Test
-    void respondsToEachRequestThatWasRead() {
+    void respondsToEachCompleteRequestForEverySequenceOfEvents() {
         assertEquals(List.of(), firstFailure(5, false));
-        assertTrue(!firstFailure(3, true).isEmpty(), "a close that ignores what was read is found");
+        assertTrue(!firstFailure(3, true).isEmpty(), "a close that ignores what was read must be detected");
     }
 }
--- a/balancer/src/test/java/gorsestack/wire/DiscoveryWatchStatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/DiscoveryWatchStatesTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The states of a watch of the endpoint list: all sequences of a few events to a stated length, each against the bound within which a
- * list is received. A planted fault shows that the bound can fail.
+ * Runs every sequence of a few events on a watch of the endpoint list and checks the time within which a list is received afterwards.
+ * Guards against a watch that is not reopened, or reopened too late, after a refusal, a reset, silence or a move of discovery. An injected
+ * fault shows that the check can fail.
  */
 class DiscoveryWatchStatesTest {
     private static final long MS = 1_000_000;
@@ -22,12 +23,12 @@
     private static final Limits PUSHED_LISTS = TestLimits.forMembershipMode("automatic");
     private static final long POLLED_BOUND_MILLIS = 6_000;
     private static final long PUSHED_BOUND_MILLIS = 2_000;
-    /** What a busy core and the response itself may take of the bound. */
+    /** Part of the bound that a busy core and the response itself may take, in milliseconds. */
     private static final long SLACK_MILLIS = 500 + 750 - 20;
 
     private static final InetSocketAddress ADDRESS_A = new InetSocketAddress("127.0.0.1", 8501);
     private static final InetSocketAddress ADDRESS_B = new InetSocketAddress("127.0.0.1", 8502);
-    /** Held here, so that its level stays: hundreds of thousands of watches are lost in these tests. */
+    /** A strong reference, so that the logger keeps its level: hundreds of thousands of watches are lost in these tests. */
     private static final Logger DISCOVERY_LOG = Logger.getLogger("gorsestack.discovery");
 
     static {
@@ -45,14 +46,14 @@
     }
 
     private static final List<Event> ALL_EVENTS = List.of(Event.values());
-    /** A move is bounded differently: it counts 4 s later. */
+    /** The events without moves, which have a different bound: the list of a new address counts as delivered 4 s later. */
     private static final List<Event> EVENTS_WITHOUT_MOVES = ALL_EVENTS.subList(0, 5);
 
     private static DiscoveryWatch.Listener listener(double jitter, Consumer<WatchEvent> onEvent) {
         return new DiscoveryWatch.Listener() {
             @Override
-            public void watchEvent(WatchEvent catalog) {
-                onEvent.accept(catalog);
+            public void watchEvent(WatchEvent event) {
+                onEvent.accept(event);
             }
 
             @Override
@@ -70,13 +71,15 @@
     }
 
     /**
-     * One sequence of events on one watch. After each there is a request under way or one scheduled within the bound, never more than two
-     * connections, and lists come only from an address that is followed.
+     * Applies one sequence of events to one watch. After each event a request must be under way or scheduled within the bound, there must
+     * be no more than two connections, and lists must come only from an address that is followed.
      */
-    private static final class Play {
-        /** The planted fault: time does not pass, and the bound is far too short. */
+    private static final class SequenceRun {
+        /** The injected fault: no time passes, and the bound is far too short. */
         private final boolean impossibleBound;
-        /** A list counts as notified so long after discovery can be reached, unless a silent request may be under way. */
+        /**
+         * Time within which a list must be received once discovery is reachable, in milliseconds, unless a silent request may be under way.
+         */
         private final long boundMillis;
 
         private final ManualEventLoop eventLoop = new ManualEventLoop(1_000_000);
@@ -85,7 +88,7 @@
         private final DiscoveryWatch discovery;
         private int nextIndex = 10;
 
-        Play(Limits limits, long boundMillis, boolean impossibleBound) {
+        SequenceRun(Limits limits, long boundMillis, boolean impossibleBound) {
             this.boundMillis = boundMillis;
             this.impossibleBound = impossibleBound;
             discovery = new DiscoveryWatch(
@@ -97,7 +100,7 @@
                     listener(0.999, event -> receivedIndexes.add(event.index())));
         }
 
-        /** Returns what is wrong after the sequence, or null. */
+        /** Returns what is wrong after the sequence, or null if nothing is. */
         String run(List<Event> sequence) {
             discovery.watch();
             for (Event event : sequence) {
@@ -158,7 +161,7 @@
             }
         }
 
-        /** Whatever came before: once discovery can be reached, a list is received within the bound. */
+        /** Returns null if a list is received within the bound once discovery is reachable, whatever happened before. */
         private String failureOnceReachable() {
             long reachableAt = eventLoop.now();
             int listsBefore = receivedIndexes.size();
@@ -170,7 +173,7 @@
                         .skip(connectionsBefore)
                         .filter(connection -> !connection.connected)
                         .toList()
-                        .forEach(Play::connectAndSendList);
+                        .forEach(SequenceRun::connectAndSendList);
                 eventLoop.advance(10);
             }
             long elapsedMillis = (eventLoop.now() - reachableAt) / MS;
@@ -190,43 +193,43 @@
     }
 
     @Test
-    void receivesAListWithinItsBoundWhateverCameBefore() {
+    void receivesListWithinBoundAfterEverySequenceOfEvents() {
         assertEquals(
                 List.of(),
                 EventSequences.firstFailure(
-                        ALL_EVENTS, 5, sequence -> new Play(LIMITS, POLLED_BOUND_MILLIS, false).run(sequence)));
+                        ALL_EVENTS, 5, sequence -> new SequenceRun(LIMITS, POLLED_BOUND_MILLIS, false).run(sequence)));
         assertTrue(
                 !EventSequences.firstFailure(
-                                ALL_EVENTS, 3, sequence -> new Play(LIMITS, POLLED_BOUND_MILLIS, true).run(sequence))
+                                ALL_EVENTS, 3, sequence -> new SequenceRun(LIMITS, POLLED_BOUND_MILLIS, true).run(sequence))
                         .isEmpty(),
-                "a bound that does not hold is found");
+                "a bound that does not hold must be detected");
     }
 
-    /** A pushed list counts as notified as soon as its agent can be reached; only the drain grace is left to receive it. */
+    /** A pushed list counts as delivered as soon as its agent is reachable, so it must be received within the drain grace. */
     @Test
-    void receivesAPushedListWithinTheDrainGraceOnceItsAgentCanBeReached() {
+    void receivesPushedListWithinDrainGraceOnceAgentIsReachable() {
         assertEquals(
                 List.of(),
                 EventSequences.firstFailure(
                         EVENTS_WITHOUT_MOVES,
                         6,
-                        sequence -> new Play(PUSHED_LISTS, PUSHED_BOUND_MILLIS, false).run(sequence)));
+                        sequence -> new SequenceRun(PUSHED_LISTS, PUSHED_BOUND_MILLIS, false).run(sequence)));
         assertTrue(
                 !EventSequences.firstFailure(
                                 EVENTS_WITHOUT_MOVES,
                                 3,
-                                sequence -> new Play(LIMITS, PUSHED_BOUND_MILLIS, false).run(sequence))
+                                sequence -> new SequenceRun(LIMITS, PUSHED_BOUND_MILLIS, false).run(sequence))
                         .isEmpty(),
                 "lists that are polled may take longer");
     }
 
-    /** An update that could not be applied is not skipped: otherwise only newer ones would be requested from then on. */
+    /** Guards against an update that is lost: if it were skipped, only newer ones would be requested from then on. */
     @Test
-    void requestsTheWholeListAfterAnUpdateThatCouldNotBeApplied() {
+    void requestsWholeListWhenUpdateCouldNotBeApplied() {
         ManualEventLoop eventLoop = new ManualEventLoop(1_000_000);
         RecordingNetwork network = new RecordingNetwork(eventLoop);
         DiscoveryWatch discovery = new DiscoveryWatch(network, eventLoop, LIMITS, ADDRESS_A, 7, listener(0.5, event -> {
-            throw new IllegalStateException("a planted fault");
+            throw new IllegalStateException("an injected fault");
         }));
         discovery.watch();
         RecordingChannel first = network.last();
--- a/balancer/src/test/java/gorsestack/wire/EventSequences.java
+++ b/balancer/src/test/java/gorsestack/wire/EventSequences.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** Plays every sequence of a given length over a set of events. */
+/** Runs a check for every sequence of a given length over a set of events. Used by the state tests of this package. */
 final class EventSequences {
     private EventSequences() {}
 
     /**
-     * Plays each sequence in turn and returns the first one that fails, or an empty list if none does.
+     * Runs each sequence in turn and returns the first one that fails, or an empty list if none does.
      *
-     * @param play returns what is wrong after a sequence, or null
+     * @param runSequence returns what is wrong after a sequence, or null if nothing is
      */
-    static <E> List<E> firstFailure(List<E> events, int length, Function<List<E>, String> play) {
+    static <E> List<E> firstFailure(List<E> events, int length, Function<List<E>, String> runSequence) {
         long count = (long) Math.pow(events.size(), length);
         for (long number = 0; number < count; number++) {
             List<E> sequence = sequence(events, length, number);
-            String failure = play.apply(sequence);
+            String failure = runSequence.apply(sequence);
             if (failure != null) {
                 System.err.println(sequence + ": " + failure);
                 return sequence;
@@ -26,7 +26,7 @@
         return List.of();
     }
 
-    /** The digits of the number, to the base of the number of events, each as an event. */
+    /** Returns the sequence with the given number: each digit of the number, to the base of the number of events, stands for an event. */
     private static <E> List<E> sequence(List<E> events, int length, long number) {
         List<E> sequence = new ArrayList<>(length);
         long rest = number;
--- a/balancer/src/test/java/gorsestack/wire/FakeChannel.java
+++ b/balancer/src/test/java/gorsestack/wire/FakeChannel.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A channel without a socket. Its input is queued on the event loop as a socket's would be, so that bytes can have been read while the
- * handler has not received them yet. Output is dropped unless a subclass records it.
+ * A channel without a socket. Its input is queued on the event loop as that of a socket would be, so that bytes can have been read that the
+ * handler has not received yet. Output is dropped unless a subclass records it.
  */
 public class FakeChannel implements Channel {
     protected final EventLoop eventLoop;
@@ -33,12 +33,12 @@
         });
     }
 
-    /** The number of reads that the handler has received. */
+    /** Returns the number of reads that the handler has received. */
     protected int deliveredCount() {
         return deliveredCount;
     }
 
-    /** The number of reads, received by the handler or not. */
+    /** Returns the number of reads, whether or not the handler has received them. */
     protected int readCount() {
         return readCount;
     }
@@ -76,5 +76,5 @@
     public void finishUnlessInputArrived() {}
 
     @Override
-    public void suspendReading(boolean stop) {}
+    public void suspendReading(boolean suspended) {}
 }
--- a/balancer/src/test/java/gorsestack/wire/HttpParserTest.java
+++ b/balancer/src/test/java/gorsestack/wire/HttpParserTest.java
@@ -13,6 +13,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Checks that messages are parsed and formatted correctly wherever they are split, and that invalid ones are rejected. */
 class HttpParserTest {
     private static final Limits LIMITS = Limits.of(
             new ObjectMapper().createObjectNode().put("sockets", 1024), new ObjectMapper().createObjectNode());
@@ -21,8 +22,8 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** Feeds the text in two pieces, and byte by byte where the cut is 0; checks that it stops at the end. */
-    private static HttpParser fed(boolean request, String text, int cut) throws MalformedMessageException {
+    /** Feeds the text in two pieces, or byte by byte if the cut is 0, and checks that the parser stops at the end of the message. */
+    private static HttpParser parseInPieces(boolean request, String text, int cut) throws MalformedMessageException {
         HttpParser parser = request ? HttpParser.request(LIMITS) : HttpParser.response(LIMITS);
         byte[] all = bytes(text + "more");
         if (cut == 0) {
@@ -40,14 +41,14 @@
 
     @Test
     @SuppressWarnings("StringConcatToTextBlock") // line ends on the wire are CR LF
-    void readsRequestsSplitAtEveryByte() throws MalformedMessageException {
+    void parsesRequestSplitAtAnyByte() throws MalformedMessageException {
         String head = "POST /publicar/x?a=b HTTP/1.1\r\nHost: service.internal\r\nX-Correlation-Id: 9b1f\r\n"
                 + "x-time-left:480m\r\nIdempotency-Key:  k 1 \r\nConnection: X-Own\r\nX-Own: 1\r\n";
         String fixed = head + "Content-Length: 5\r\n\r\nhel\0o";
         String chunked = head + "Transfer-Encoding: chunked\r\n\r\n3;q=1\r\nhel\r\n02\r\n\0o\r\n0\r\nT: 1\r\n\r\n";
         for (String text : new String[] {fixed, chunked, "\r\n" + fixed}) {
             for (int cut = 0; cut < text.length(); cut++) {
-                HttpParser parser = fed(true, text, cut);
+                HttpParser parser = parseInPieces(true, text, cut);
                 Request request = Request.of(parser.head(), parser.body(), null);
                 assertEquals(
                         "9b1f publicar 480000000 null",
@@ -62,14 +63,14 @@
     }
 
     @Test
-    void readsResponsesSplitAtEveryByte() throws MalformedMessageException {
+    void parsesResponseSplitAtAnyByte() throws MalformedMessageException {
         for (String text : new String[] {
             "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nX-A: b\r\n\r\nabc",
             "HTTP/1.1 200 OK\r\nX-Load: \0\7\u00ff=\r\nContent-Length: 3\r\nX-A: b\r\n\r\nabc",
             "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200\r\nX-A: b\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
         }) {
             for (int cut = 0; cut < text.length(); cut++) {
-                HttpParser parser = fed(false, text, cut);
+                HttpParser parser = parseInPieces(false, text, cut);
                 assertEquals("200", parser.head().start[1]);
                 assertArrayEquals(bytes("abc"), parser.body());
                 assertEquals(
@@ -81,9 +82,9 @@
         }
     }
 
-    /** Some responses end with their connection; some header fields are folded over several lines. */
+    /** A response without a length ends with its connection, and a header field may be folded over several lines. */
     @Test
-    void readsResponsesThatEndWithTheirConnectionAndFoldedLines() throws MalformedMessageException {
+    void parsesFoldedLinesAndResponseThatEndsWithConnection() throws MalformedMessageException {
         byte[] all = bytes("HTTP/1.1 200 OK\r\nX-A: b\r\n\tc\r\n  d\r\nX-E: f\r\n\r\nabc");
         HttpParser parser = HttpParser.response(LIMITS);
         parser.feed(all, 0, all.length);
@@ -101,14 +102,14 @@
         assertFalse(cut.done());
         assertEquals(
                 "000000000000003",
-                fed(true, "GET /a HTTP/1.1\r\nContent-Length: 000000000000003\r\n\r\nabc", 5)
+                parseInPieces(true, "GET /a HTTP/1.1\r\nContent-Length: 000000000000003\r\n\r\nabc", 5)
                         .head()
                         .field("content-length"));
     }
 
-    /** Random responses, parsed at once and in small pieces, give the same result. */
+    /** Random responses give the same result whether they are parsed at once or in small pieces. */
     @Test
-    void readsPiecesAsItReadsTheCompleteMessage() throws MalformedMessageException {
+    void parsesPiecesLikeCompleteMessage() throws MalformedMessageException {
         SplittableRandom random = new SplittableRandom(17);
         for (int i = 0; i < 2_000; i++) {
             StringBuilder text =
@@ -125,15 +126,15 @@
             boolean chunked = random.nextBoolean();
             if (chunked) {
                 text.append("Transfer-Encoding: Chunked\r\n\r\n");
-                for (int at = 0; at < content.length(); ) {
-                    int size = 1 + random.nextInt(content.length() - at);
+                for (int position = 0; position < content.length(); ) {
+                    int size = 1 + random.nextInt(content.length() - position);
                     text.append("0".repeat(random.nextInt(12)))
                             .append(Integer.toHexString(size))
                             .append(random.nextBoolean() ? ";a=\"b\"" : "")
                             .append("\r\n")
-                            .append(content, at, at + size)
+                            .append(content, position, position + size)
                             .append("\r\n");
-                    at += size;
+                    position += size;
                 }
                 text.append(random.nextBoolean() ? "0\r\n\r\n" : "000;x\r\nT: 1\r\nU: 2\r\n\r\n");
             } else {
@@ -146,10 +147,10 @@
             HttpParser atOnce = HttpParser.response(LIMITS);
             HttpParser pieces = HttpParser.response(LIMITS);
             assertEquals(all.length, atOnce.feed(all, 0, all.length));
-            for (int at = 0; at < all.length; ) {
-                int to = Math.min(all.length, at + 1 + random.nextInt(7));
-                assertEquals(to, pieces.feed(all, at, to));
-                at = to;
+            for (int position = 0; position < all.length; ) {
+                int end = Math.min(all.length, position + 1 + random.nextInt(7));
+                assertEquals(end, pieces.feed(all, position, end));
+                position = end;
             }
             assertTrue(atOnce.done() && pieces.done(), text.toString());
             assertArrayEquals(body, atOnce.body());
@@ -171,9 +172,11 @@
                 .status;
     }
 
-    /** Danger: two parsers that see different ends of a message; the second request is one that nobody sent. */
+    /**
+     * Guards against request smuggling: if two parsers see different ends of a message, one of them sees a second request that nobody sent.
+     */
     @Test
-    void rejectsAmbiguousMessages() {
+    void rejectsAmbiguousInvalidAndOversizedMessages() {
         String get = "GET /a HTTP/1.1\r\nX-Correlation-Id: 1\r\n";
         for (String more : new String[] {
             "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -196,7 +199,7 @@
         }
         assertEquals(400, rejectionStatus(true, "GET /a\r\n\r\n"));
         assertEquals(400, rejectionStatus(true, "\0\1\2\r\n\r\n"));
-        assertEquals(400, rejectionStatus(true, "GET /a HTTP/1.1\r\n\r\n"), "no id");
+        assertEquals(400, rejectionStatus(true, "GET /a HTTP/1.1\r\n\r\n"), "without a correlation id");
         assertEquals(405, rejectionStatus(true, "HEAD /a HTTP/1.1\r\nX-Correlation-Id: 1\r\n\r\n"));
         assertEquals(413, rejectionStatus(true, get + "Content-Length: 37748737\r\n\r\n"));
         assertEquals(413, rejectionStatus(true, get + "Transfer-Encoding: chunked\r\n\r\n2400001\r\n"));
@@ -209,7 +212,7 @@
     }
 
     @Test
-    void formatsAndParsesTheTimeLeftInBothUnits() throws MalformedMessageException {
+    void formatsAndParsesRemainingTimeInBothUnits() throws MalformedMessageException {
         assertEquals(1_500_000, DeadlineHeader.read("1500u"));
         assertEquals(480_250_000, DeadlineHeader.read("480.25m"));
         assertEquals(-1, DeadlineHeader.read(null));
--- a/balancer/src/test/java/gorsestack/wire/ManualEventLoop.java
+++ b/balancer/src/test/java/gorsestack/wire/ManualEventLoop.java
@@ -7,7 +7,7 @@
     private final TimerQueue timers = new TimerQueue();
     private long now;
 
-    /** A loop whose clock starts at the given number of milliseconds since 1970. */
+    /** Creates a loop whose clock starts at the given number of milliseconds since 1970. */
     public ManualEventLoop(long startMillis) {
         now = startMillis * NANOS_PER_MILLI;
     }
--- a/balancer/src/test/java/gorsestack/wire/PollBackoffTest.java
+++ b/balancer/src/test/java/gorsestack/wire/PollBackoffTest.java
@@ -6,26 +6,27 @@
 import gorsestack.settings.Limits;
 import org.junit.jupiter.api.Test;
 
+/** Guards against balancers that reopen their watches at the same time after they were refused together. */
 class PollBackoffTest {
     private static final Limits LIMITS = Limits.of(
             new ObjectMapper().createObjectNode().put("sockets", 1024), new ObjectMapper().createObjectNode());
 
     @Test
-    void shortDelayIsDrawnFromNothingToTheWholeSpread() {
+    void drawsShortDelayBetweenZeroAndReconnectJitter() {
         assertEquals(0, new PollBackoff(LIMITS, () -> 0).shortDelay());
         assertEquals(LIMITS.discovery().reconnectJitterNanos() / 2, new PollBackoff(LIMITS, () -> 0.5).shortDelay());
     }
 
     @Test
-    void delayAfterFailureIsAQuarterToAllOfWhatIsLeftOfTheRetryTime() {
+    void drawsDelayAfterFailureBetweenQuarterAndAllOfRemainingRetryTime() {
         long spent = LIMITS.discovery().maxRetryDelayNanos() / 2;
-        long left = LIMITS.discovery().maxRetryDelayNanos() - spent;
-        assertEquals((long) (left * 0.25), new PollBackoff(LIMITS, () -> 0).delayAfterFailure(spent));
-        assertEquals((long) (left * 0.625), new PollBackoff(LIMITS, () -> 0.5).delayAfterFailure(spent));
+        long remaining = LIMITS.discovery().maxRetryDelayNanos() - spent;
+        assertEquals((long) (remaining * 0.25), new PollBackoff(LIMITS, () -> 0).delayAfterFailure(spent));
+        assertEquals((long) (remaining * 0.625), new PollBackoff(LIMITS, () -> 0.5).delayAfterFailure(spent));
     }
 
     @Test
-    void delayAfterAFailureThatTookLongStillSpreadsTheBalancers() {
+    void drawsDelayFromReconnectJitterWhenFailureTookLongerThanRetryTime() {
         long tooLong = 2 * LIMITS.discovery().maxRetryDelayNanos();
         assertEquals(
                 (long) (LIMITS.discovery().reconnectJitterNanos() * 0.25),
--- a/balancer/src/test/java/gorsestack/wire/RecordingChannel.java
+++ b/balancer/src/test/java/gorsestack/wire/RecordingChannel.java
@@ -3,16 +3,16 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 
-/** A channel that records its output and counts bytes written after its end, which are a fault. */
+/** A channel that records its output and counts writes after its end, which are a fault of the code under test. */
 final class RecordingChannel extends FakeChannel {
-    /** Where it connects to; null for one that was accepted. */
+    /** The address to which the connection was opened; null for an accepted connection. */
     final InetSocketAddress remoteAddress;
 
     final StringBuilder output = new StringBuilder();
     boolean connected;
     /** Whether the peer has begun its response. */
     boolean responseStarted;
-    /** Whether the output was shut in order. */
+    /** Whether the output was shut down gracefully. */
     boolean outputShut;
 
     int writesAfterEnd;
@@ -23,7 +23,7 @@
         this.remoteAddress = remoteAddress;
     }
 
-    /** Whether anything that the peer sends is still read. */
+    /** Returns whether anything that the peer sends is still read. */
     boolean readable() {
         return open && !outputShut;
     }
@@ -46,7 +46,7 @@
         handler.received(text.getBytes(StandardCharsets.US_ASCII), eventLoop.now());
     }
 
-    /** The end from the other side; the handler learns of it behind what was read. */
+    /** Ends the connection from the other side; the handler is notified after it has received what was read before. */
     void disconnect() {
         if (open) {
             open = false;
--- a/balancer/src/test/java/gorsestack/wire/RecordingNetwork.java
+++ b/balancer/src/test/java/gorsestack/wire/RecordingNetwork.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A network that records the connections begun on it and leaves them to the test. */
+/** A network that records the connections that are opened, and leaves establishing them to the test. */
 final class RecordingNetwork extends StubNetwork {
     final List<RecordingChannel> connections = new ArrayList<>();
     private final EventLoop eventLoop;
@@ -18,7 +18,7 @@
         connections.add(new RecordingChannel(eventLoop, handler, address));
     }
 
-    /** The connection begun last. */
+    /** Returns the connection that was opened last. */
     RecordingChannel last() {
         return connections.get(connections.size() - 1);
     }
--- a/balancer/src/test/java/gorsestack/wire/RequestProgressTest.java
+++ b/balancer/src/test/java/gorsestack/wire/RequestProgressTest.java
@@ -6,11 +6,12 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against a request that counts as sent before its last byte is, or the reverse: retries depend on it. */
 class RequestProgressTest {
     private final RequestProgress progress = new RequestProgress();
 
     @Test
-    void aRequestThatWaitsForItsConnectionIsNotWritten() {
+    void isNotWrittenWhileRequestWaitsForConnection() {
         progress.reset(true, true);
         assertTrue(progress.waitsForConnection());
         assertFalse(progress.written());
@@ -22,7 +23,7 @@
     }
 
     @Test
-    void aRelayedBodyIsWrittenWithItsLastWrite() {
+    void isWrittenWhenLastWriteOfRelayedBodyIsSent() {
         progress.reset(false, false);
         progress.begin();
         progress.writeQueued();
@@ -39,7 +40,7 @@
     }
 
     @Test
-    void remembersWhetherAndWhenTheFirstByteWasReleased() {
+    void recordsWhetherAndWhenFirstByteWasReleased() {
         progress.reset(true, false);
         progress.begin();
         assertFalse(progress.release(7, false));
--- a/balancer/src/test/java/gorsestack/wire/SegmentationTest.java
+++ b/balancer/src/test/java/gorsestack/wire/SegmentationTest.java
@@ -18,17 +18,20 @@
 import java.util.logging.Logger;
 import org.junit.jupiter.api.Test;
 
-/** Valid and malformed bytes, split at random: each parser gives the same result however they are segmented. */
+/**
+ * Feeds valid and malformed bytes to each parser, in pieces that are split at random. Guards against results that depend on how the network
+ * segments the bytes.
+ */
 class SegmentationTest {
     private static final Limits LIMITS = TestLimits.defaults();
-    /** Held here, so that its level stays: malformed lists are logged by the thousand. */
+    /** A strong reference, so that the logger keeps its level: thousands of malformed lists are logged in these tests. */
     private static final Logger DISCOVERY_LOG = Logger.getLogger("gorsestack.discovery");
 
     static {
         DISCOVERY_LOG.setLevel(Level.OFF);
     }
 
-    /** Runs tasks at once and never reaches the time of a timer. */
+    /** Runs tasks at once; its clock never reaches the time of a timer. */
     private static final EventLoop FROZEN_EVENT_LOOP = new EventLoop() {
         @Override
         public long now() {
@@ -61,7 +64,7 @@
             "HTTP/1.1 204 None\r\n\r\n",
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbodyHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nagain");
 
-    /** The text with up to three bytes replaced, removed, doubled or inserted. */
+    /** Returns the bytes of the text with up to three of them replaced, removed, doubled or preceded by another byte. */
     private static byte[] corrupted(String text, SplittableRandom random) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
@@ -86,7 +89,7 @@
         return out.toByteArray();
     }
 
-    /** Splits at up to so many places; 0 gives one piece, a negative number single bytes. */
+    /** Splits bytes at up to the given number of places: 0 gives one piece, a negative number single bytes. */
     private static List<byte[]> split(byte[] bytes, int cuts, SplittableRandom random) {
         Set<Integer> positions = new HashSet<>();
         for (int i = 0; i < (cuts < 0 ? bytes.length : cuts); i++) {
@@ -121,8 +124,8 @@
                 + new String(parser.body(), StandardCharsets.ISO_8859_1);
     }
 
-    /** Verifies that segmentation changes no result, and returns how many kinds of results there were. */
-    private static int verifySameHoweverSplit(List<String> corpus, Supplier<HttpParser> make) {
+    /** Verifies that the split changes no result, and returns the number of different kinds of results. */
+    private static int verifySameResultForEverySplit(List<String> corpus, Supplier<HttpParser> make) {
         Set<String> kinds = new HashSet<>();
         for (int seed = 0; seed < 4_000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
@@ -140,42 +143,42 @@
     }
 
     @Test
-    void parsesARequestTheSameHoweverItIsSplit() {
+    void parsesRequestIdenticallyForEverySplit() {
         assertTrue(
-                verifySameHoweverSplit(REQUESTS, () -> HttpParser.request(LIMITS)) >= 3,
-                "valid, malformed and incomplete ones");
+                verifySameResultForEverySplit(REQUESTS, () -> HttpParser.request(LIMITS)) >= 3,
+                "there are valid, malformed and incomplete messages");
     }
 
     @Test
-    void parsesAResponseTheSameHoweverItIsSplit() {
+    void parsesResponseIdenticallyForEverySplit() {
         assertTrue(
-                verifySameHoweverSplit(RESPONSES, () -> HttpParser.response(LIMITS)) >= 3,
-                "valid, malformed and incomplete ones");
+                verifySameResultForEverySplit(RESPONSES, () -> HttpParser.response(LIMITS)) >= 3,
+                "there are valid, malformed and incomplete messages");
     }
 
-    /** Lists indented over several lines, with braces and line breaks in strings, and corrupted ones. */
+    /** The lists are indented over several lines, with braces and line breaks in strings; corrupted ones follow. */
     @Test
-    void parsesAWatchTheSameHoweverItIsSplit() {
+    void parsesWatchIdenticallyForEverySplit() {
         String entry = "{\"name\":\"s{1}\",\"address\":\"127.0.1.1:80\",\"zone\":\"a\\\"\",\"status\":\"in_service\"}";
         String list = "\n{\n  \"index\": 43,\n  \"snapshot\": true,\n  \"endpoints\": [\n    " + entry + "\n  ]\n}\n\n";
         String one = "{\"index\":44,\"snapshot\":false,\"endpoints\":[" + entry + "]}\n";
         String body = list + one;
         String chunked = WatchMessages.RESPONSE_HEAD + WatchMessages.chunk(list) + WatchMessages.chunk(one);
-        assertEquals("[43, 44]", watched(List.of(chunked.getBytes(StandardCharsets.ISO_8859_1))));
+        assertEquals("[43, 44]", receivedIndexes(List.of(chunked.getBytes(StandardCharsets.ISO_8859_1))));
         assertEquals(
-                "[43, 44]", watched(List.of(("HTTP/1.1 200 OK\r\n\r\n" + body).getBytes(StandardCharsets.ISO_8859_1))));
+                "[43, 44]", receivedIndexes(List.of(("HTTP/1.1 200 OK\r\n\r\n" + body).getBytes(StandardCharsets.ISO_8859_1))));
         for (int seed = 0; seed < 1_000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             byte[] bytes = corrupted(chunked, random);
-            String unsplit = watched(split(bytes, 0, random));
+            String unsplit = receivedIndexes(split(bytes, 0, random));
             for (int cuts : new int[] {1, 3, -1}) {
-                assertEquals(unsplit, watched(split(bytes, cuts, random)), "seed " + seed);
+                assertEquals(unsplit, receivedIndexes(split(bytes, cuts, random)), "seed " + seed);
             }
         }
     }
 
-    /** The indexes of the lists received, up to the end of the bytes or of the watch. */
-    private static String watched(List<byte[]> pieces) {
+    /** Returns the indexes of the lists received, up to the end of the bytes or of the watch. */
+    private static String receivedIndexes(List<byte[]> pieces) {
         List<Long> indexes = new ArrayList<>();
         ConnectionHandler[] watch = new ConnectionHandler[1];
         Network network = new StubNetwork() {
@@ -196,8 +199,8 @@
     private static DiscoveryWatch.Listener recordIndexes(List<Long> indexes) {
         return new DiscoveryWatch.Listener() {
             @Override
-            public void watchEvent(WatchEvent catalog) {
-                indexes.add(catalog.index());
+            public void watchEvent(WatchEvent event) {
+                indexes.add(event.index());
             }
 
             @Override
--- a/balancer/src/test/java/gorsestack/wire/StallDetectorTest.java
+++ b/balancer/src/test/java/gorsestack/wire/StallDetectorTest.java
@@ -6,12 +6,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/** Guards against a response that stops arriving and keeps its call open, and against one that is cut off although it arrives. */
 class StallDetectorTest {
     private static final long TIMEOUT = 100;
 
     private record Timer(long time, Runnable task) {}
 
-    /** Runs timers in their order, on a clock that the test moves. */
+    /** An event loop that runs timers in order, on a clock that the test advances. */
     private static final class ManualLoop implements EventLoop {
         private final PriorityQueue<Timer> timers =
                 new PriorityQueue<>((left, right) -> Long.compare(left.time, right.time));
@@ -56,7 +57,7 @@
     }
 
     @Test
-    void findsAResponseThatIsSilentForTheTimeout() {
+    void reportsStallWhenResponseIsSilentForTimeout() {
         loop.advanceTo(TIMEOUT - 1);
         assertEquals(0, stalls);
         loop.advanceTo(TIMEOUT);
@@ -64,11 +65,11 @@
     }
 
     @Test
-    void eachByteBeginsTheTimeoutAgain() {
+    void restartsTimeoutWhenBytesArrive() {
         loop.advanceTo(60);
         detector.bytesReceived();
         detector.watch();
-        assertEquals(1, loop.timers.size(), "watched already");
+        assertEquals(1, loop.timers.size(), "a response that is watched gets no second timer");
         loop.advanceTo(60 + TIMEOUT - 1);
         assertEquals(0, stalls);
         loop.advanceTo(60 + TIMEOUT);
@@ -76,7 +77,7 @@
     }
 
     @Test
-    void aCompleteResponseIsWatchedNoLonger() {
+    void stopsWatchingWhenResponseIsComplete() {
         incomplete = false;
         loop.advanceTo(10 * TIMEOUT);
         assertEquals(0, stalls);
@@ -89,7 +90,7 @@
     }
 
     @Test
-    void silenceDoesNotCountWhileReadingIsPausedHere() {
+    void ignoresSilenceWhileReadingIsPaused() {
         detector.pause(true);
         loop.advanceTo(10 * TIMEOUT);
         assertEquals(0, stalls);
--- a/balancer/src/test/java/gorsestack/wire/TestLimits.java
+++ b/balancer/src/test/java/gorsestack/wire/TestLimits.java
@@ -4,16 +4,16 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gorsestack.settings.Limits;
 
-/** Limits as the tests of this package configure them. */
+/** Creates the limits that the tests of this package use. */
 final class TestLimits {
     private TestLimits() {}
 
-    /** The limits without any settings of a customer. */
+    /** Returns the limits without any settings of a customer. */
     static Limits defaults() {
         return Limits.of(machine(), new ObjectMapper().createObjectNode());
     }
 
-    /** The limits of a customer whose endpoint lists are polled ("subscribe") or pushed ("automatic"). */
+    /** Returns the limits of a customer whose endpoint lists are polled ("subscribe") or pushed ("automatic"). */
     static Limits forMembershipMode(String mode) {
         ObjectNode settings = new ObjectMapper().createObjectNode().put("membershipMode", mode);
         settings.putObject("limits").put("connectTimeout", 120).put("connIdle", 30_000);
--- a/balancer/src/test/java/gorsestack/wire/TimerQueue.java
+++ b/balancer/src/test/java/gorsestack/wire/TimerQueue.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Timers of an event loop under test, ordered by due time and, where that is equal, by the order of their creation. */
+/** The timers of an event loop in tests, ordered by due time and, where that is equal, by the order of their creation. */
 public final class TimerQueue {
 
     /** A task and the time in nanoseconds at which it is due. */
@@ -13,7 +13,7 @@
             new PriorityQueue<>(Comparator.comparingLong(Timer::dueAt).thenComparingLong(Timer::sequence));
     private long nextSequence;
 
-    /** Adds a timer; running what is returned cancels it. */
+    /** Adds a timer; running the returned task cancels it. */
     public Runnable add(long dueAt, Runnable task) {
         Timer timer = new Timer(dueAt, nextSequence++, task);
         timers.add(timer);
--- a/balancer/src/test/java/gorsestack/wire/UpstreamConnectionStatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/UpstreamConnectionStatesTest.java
@@ -12,12 +12,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The states of an attempt's connection: all sequences of a few events to a stated length, each against a plain model of the outcome. A
- * planted fault shows that the model can fail.
+ * Runs every sequence of a few events on the connection of an attempt and compares the outcome with a simple model. Guards against attempts
+ * that end twice, that are sent although their call has ended, or that count as not executed although the request was written: such a call
+ * would run twice. An injected fault shows that the check can fail.
  */
 class UpstreamConnectionStatesTest {
     private static final Limits LIMITS = TestLimits.forMembershipMode("subscribe");
-    private static final String SENT_THOUGH_UNWANTED = "sent though it was not wanted any more";
+    private static final String SENT_ALTHOUGH_UNWANTED = "the request was sent although it was no longer wanted";
 
     private enum Event {
         CONNECTED,
@@ -32,7 +33,7 @@
         CALL_ENDS
     }
 
-    /** The pool and the attempt behind a connection, with the attempt's outcomes recorded. */
+    /** The pool and the attempt that a connection reports to; records the outcomes of the attempt. */
     private static final class RecordingPool implements UpstreamConnectionOwner, AttemptListener {
         final List<Outcome> outcomes = new ArrayList<>();
         boolean upstreamAcceptsNew = true;
@@ -74,7 +75,7 @@
         }
 
         @Override
-        public void ended(Outcome outcome, Response answer) {
+        public void ended(Outcome outcome, Response response) {
             outcomes.add(outcome);
         }
 
@@ -87,9 +88,9 @@
         }
     }
 
-    /** One sequence of events on one attempt. */
-    private static final class Play {
-        /** The planted fault: the end of the call is not seen as its request is sent. */
+    /** Applies one sequence of events to one attempt. */
+    private static final class SequenceRun {
+        /** The injected fault: the end of the call is not noticed when its request is sent. */
         private final boolean ignoresCallEnd;
 
         private final ManualEventLoop eventLoop = new ManualEventLoop(1_000_000);
@@ -103,11 +104,11 @@
         private boolean requestWritten;
         private boolean unwanted;
 
-        Play(boolean ignoresCallEnd) {
+        SequenceRun(boolean ignoresCallEnd) {
             this.ignoresCallEnd = ignoresCallEnd;
         }
 
-        /** Returns what is wrong after the sequence, or null. */
+        /** Returns what is wrong after the sequence, or null if nothing is. */
         String run(List<Event> sequence) {
             connection.connect(network);
             connection.send(null, pool);
@@ -115,7 +116,7 @@
             for (Event event : sequence) {
                 if (event == Event.CONNECTED && !channel.connected) {
                     if (sendsUnwantedOnConnect()) {
-                        return SENT_THOUGH_UNWANTED;
+                        return SENT_ALTHOUGH_UNWANTED;
                     }
                 } else {
                     apply(event);
@@ -123,7 +124,7 @@
             }
             eventLoop.runPending();
             String failure = failure();
-            return failure == null && plantedFaultFound(sequence) ? SENT_THOUGH_UNWANTED : failure;
+            return failure == null && injectedFaultDetected(sequence) ? SENT_ALTHOUGH_UNWANTED : failure;
         }
 
         private boolean sendsUnwantedOnConnect() {
@@ -145,7 +146,7 @@
 
         private void apply(Event event) {
             switch (event) {
-                case CONNECTED -> {} // once only
+                case CONNECTED -> {} // A connection is established only once.
                 case RUN_PENDING -> eventLoop.runPending();
                 case COMPLETE_RESPONSE -> readCompleteResponse();
                 case RESPONSE_WITHOUT_LENGTH -> readResponseWithoutLength();
@@ -201,29 +202,29 @@
 
         private String failure() {
             if (pool.outcomes.size() > 1) {
-                return "ended twice: " + pool.outcomes;
+                return "the attempt ended more than once: " + pool.outcomes;
             }
             Outcome outcome = pool.outcomes.isEmpty() ? null : pool.outcomes.get(0);
             if (outcome == Outcome.FULFILLED && !responseComplete) {
                 return "fulfilled by an incomplete response";
             }
             boolean claimsNotExecuted = outcome != null && outcome != Outcome.CANCELLED && outcome.provesNotExecuted;
-            return claimsNotExecuted && requestWritten && hasOutput() ? outcome + " though it was written" : null;
+            return claimsNotExecuted && requestWritten && hasOutput() ? outcome + " although the request was written" : null;
         }
 
-        private boolean plantedFaultFound(List<Event> sequence) {
+        private boolean injectedFaultDetected(List<Event> sequence) {
             return ignoresCallEnd && unwanted && hasOutput() && sequence.get(0) == Event.CALL_ENDS;
         }
     }
 
     private static List<Event> firstFailure(int length, boolean ignoresCallEnd) {
         return EventSequences.firstFailure(
-                List.of(Event.values()), length, sequence -> new Play(ignoresCallEnd).run(sequence));
+                List.of(Event.values()), length, sequence -> new SequenceRun(ignoresCallEnd).run(sequence));
     }
 
     @Test
-    void endsOnceWithATrueOutcome() {
+    void endsOnceWithCorrectOutcomeForEverySequenceOfEvents() {
         assertEquals(List.of(), firstFailure(5, false));
-        assertTrue(!firstFailure(3, true).isEmpty(), "an attempt sent past its time is found");
+        assertTrue(!firstFailure(3, true).isEmpty(), "an attempt that is sent after its call has ended must be detected");
     }
 }
--- a/balancer/src/test/java/gorsestack/wire/WatchLineSplitterTest.java
+++ b/balancer/src/test/java/gorsestack/wire/WatchLineSplitterTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Guards against watch events that are cut in two or joined, when a document spans several lines or strings hold brackets. */
 class WatchLineSplitterTest {
     private static List<String> split(String text) {
         WatchLineSplitter splitter = new WatchLineSplitter();
@@ -21,12 +22,12 @@
     }
 
     @Test
-    void splitsAtLineEnds() {
+    void splitsEventsAtLineEnds() {
         assertEquals(List.of("{\"a\":1}\n", "\n", "{}\n"), split("{\"a\":1}\n\n{}\nrest"));
     }
 
     @Test
-    void keepsAnIndentedDocumentInOnePiece() {
+    void keepsIndentedDocumentInOnePiece() {
         assertEquals(List.of("{\n \"a\": [\n1\n]\n}\n", "\n"), split("{\n \"a\": [\n1\n]\n}\n\n"));
     }
 
