--- a/balancer/src/main/java/gorsestack/wire/BoundedAcceptor.java
+++ b/balancer/src/main/java/gorsestack/wire/BoundedAcceptor.java
@@ -120,7 +120,7 @@
     @Override
     protected NioSession accept(IoProcessor<NioSession> ignored, ServerSocketChannel listener) throws Exception {
         if (openConnections.get() >= maxConnections) {
-            Thread.sleep(LIMIT_CHECK_MS); // This blocks only the acceptor's own thread; new connections wait in the backlog.
+            Thread.sleep(LIMIT_CHECK_MS); // Only the acceptor's thread waits; new connections stay in the backlog.
             return null;
         }
         try {
--- a/balancer/src/main/java/gorsestack/wire/ConnectionHandler.java
+++ b/balancer/src/main/java/gorsestack/wire/ConnectionHandler.java
@@ -22,7 +22,7 @@
      * Called when the connection could not be established for a reason on this machine (descriptors, buffers, addresses, routes); no other
      * event follows.
      */
-    default void failedHere() {
+    default void connectFailedLocally() {
         closed();
     }
 
--- a/balancer/src/main/java/gorsestack/wire/HttpParser.java
+++ b/balancer/src/main/java/gorsestack/wire/HttpParser.java
@@ -238,7 +238,7 @@
             // could send interim responses without an end.
             interimBytes += bytes.length;
             if (interimBytes > maxHeadBytes || status == 101) {
-                throw new MalformedMessageException(502, "interim responses exceed the size limit, or switch protocols");
+                throw new MalformedMessageException(502, "interim responses are too long or switch protocols");
             }
             return;
         }
--- a/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
+++ b/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
@@ -123,7 +123,7 @@
         future.addListener(f -> {
             if (!future.isConnected()) {
                 boolean local = SocketErrors.isLocal(future.getException());
-                eventLoop.execute(local ? handler::failedHere : handler::closed);
+                eventLoop.execute(local ? handler::connectFailedLocally : handler::closed);
             }
         });
     }
--- a/balancer/src/main/java/gorsestack/wire/Network.java
+++ b/balancer/src/main/java/gorsestack/wire/Network.java
@@ -24,8 +24,8 @@
     int accepted();
 
     /**
-     * Opens a connection. Either the handler's opened method or its closed or failedHere method is called, at the latest when the limit
-     * {@code UpstreamLimits.maxConnectNanos} has passed. A connect cannot be cancelled; a handler that no longer needs the connection
+     * Opens a connection. Either the handler's opened method or its closed or connectFailedLocally method is called, at the latest when the
+     * limit {@code UpstreamLimits.maxConnectNanos} has passed. A connect cannot be cancelled; a handler that no longer needs the connection
      * closes it as it opens. MINA counts a connect twice that is cancelled as it completes, and delays all later ones.
      */
     void connect(InetSocketAddress address, ConnectionHandler handler);
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -381,7 +381,7 @@
      * Ends the attempt as not sent: a lack of descriptors, buffers or routes on this machine must not make every upstream look unhealthy.
      */
     @Override
-    public void failedHere() {
+    public void connectFailedLocally() {
         end(Outcome.NOT_SENT);
         owner.closed(this);
     }
