--- a/balancer/src/main/java/gorsestack/wire/BodyRelay.java
+++ b/balancer/src/main/java/gorsestack/wire/BodyRelay.java
@@ -9,7 +9,7 @@
  * bytes than the budget allows. Used on the event loop's thread only.
  */
 public final class BodyRelay {
-    /** The connection that receives the body. */
+    /** The connection that receives the body and can pause it. */
     interface Source {
         /** Stops reading the body, or resumes it. */
         void pauseBody(boolean paused);
--- a/balancer/src/main/java/gorsestack/wire/BoundedAcceptor.java
+++ b/balancer/src/main/java/gorsestack/wire/BoundedAcceptor.java
@@ -41,7 +41,11 @@
     /** Time at which a failed accept was last logged, in nanoseconds; used by the acceptor's thread only. */
     private long loggedAt = Long.MIN_VALUE;
 
-    /** @param sharedPort whether another process may listen on the same address */
+    /**
+     * Creates an acceptor that is not bound yet.
+     *
+     * @param sharedPort whether another process may listen on the same address
+     */
     BoundedAcceptor(Executor threads, NioProcessor processor, int maxConnections, boolean sharedPort) {
         super(threads, processor);
         this.maxConnections = maxConnections;
--- a/balancer/src/main/java/gorsestack/wire/MessageHead.java
+++ b/balancer/src/main/java/gorsestack/wire/MessageHead.java
@@ -34,8 +34,8 @@
     /**
      * Parses a head.
      *
-     * @param bytes all lines, each with its line end, without the empty line; folded lines are joined in place
-     * @param strict whether control characters are an error in fields too, as they are in a request
+     * @param bytes all lines, each with its line end, without the final empty line; folded lines are joined in place
+     * @param strict whether control characters are an error in header fields too, as they are in a request
      */
     MessageHead(byte[] bytes, boolean strict) throws MalformedMessageException {
         this.bytes = bytes;
--- a/balancer/src/test/java/gorsestack/wire/DiscoveryWatchStatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/DiscoveryWatchStatesTest.java
@@ -200,7 +200,9 @@
                         ALL_EVENTS, 5, sequence -> new SequenceRun(LIMITS, POLLED_BOUND_MILLIS, false).run(sequence)));
         assertTrue(
                 !EventSequences.firstFailure(
-                                ALL_EVENTS, 3, sequence -> new SequenceRun(LIMITS, POLLED_BOUND_MILLIS, true).run(sequence))
+                                ALL_EVENTS,
+                                3,
+                                sequence -> new SequenceRun(LIMITS, POLLED_BOUND_MILLIS, true).run(sequence))
                         .isEmpty(),
                 "a bound that does not hold must be detected");
     }
--- a/balancer/src/test/java/gorsestack/wire/SegmentationTest.java
+++ b/balancer/src/test/java/gorsestack/wire/SegmentationTest.java
@@ -166,7 +166,8 @@
         String chunked = WatchMessages.RESPONSE_HEAD + WatchMessages.chunk(list) + WatchMessages.chunk(one);
         assertEquals("[43, 44]", receivedIndexes(List.of(chunked.getBytes(StandardCharsets.ISO_8859_1))));
         assertEquals(
-                "[43, 44]", receivedIndexes(List.of(("HTTP/1.1 200 OK\r\n\r\n" + body).getBytes(StandardCharsets.ISO_8859_1))));
+                "[43, 44]",
+                receivedIndexes(List.of(("HTTP/1.1 200 OK\r\n\r\n" + body).getBytes(StandardCharsets.ISO_8859_1))));
         for (int seed = 0; seed < 1_000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             byte[] bytes = corrupted(chunked, random);
--- a/balancer/src/test/java/gorsestack/wire/UpstreamConnectionStatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/UpstreamConnectionStatesTest.java
@@ -209,7 +209,9 @@
                 return "fulfilled by an incomplete response";
             }
             boolean claimsNotExecuted = outcome != null && outcome != Outcome.CANCELLED && outcome.provesNotExecuted;
-            return claimsNotExecuted && requestWritten && hasOutput() ? outcome + " although the request was written" : null;
+            return claimsNotExecuted && requestWritten && hasOutput()
+                    ? outcome + " although the request was written"
+                    : null;
         }
 
         private boolean injectedFaultDetected(List<Event> sequence) {
@@ -225,6 +227,7 @@
     @Test
     void endsOnceWithCorrectOutcomeForEverySequenceOfEvents() {
         assertEquals(List.of(), firstFailure(5, false));
-        assertTrue(!firstFailure(3, true).isEmpty(), "an attempt that is sent after its call has ended must be detected");
+        assertTrue(
+                !firstFailure(3, true).isEmpty(), "an attempt that is sent after its call has ended must be detected");
     }
 }
