--- a/balancer/src/main/java/gorsestack/proxy/ProductTable.java
+++ b/balancer/src/main/java/gorsestack/proxy/ProductTable.java
@@ -28,6 +28,6 @@
     /** The longest that the client waits: its product's timeout, or less if the request says so. */
     long clientTimeout(Request request) {
         long configured = of(request).clientTimeout();
-        return request.left() < 0 ? configured : Math.min(configured, request.left());
+        return request.remainingNanos() < 0 ? configured : Math.min(configured, request.remainingNanos());
     }
 }
--- a/balancer/src/main/java/gorsestack/wire/Request.java
+++ b/balancer/src/main/java/gorsestack/wire/Request.java
@@ -12,9 +12,9 @@
  * @param upload relays a body that is too large to be buffered; null otherwise
  * @param id the correlation id
  * @param product the first segment of the target's path
- * @param left how long the client will still wait, in nanoseconds; -1 if it did not state it
+ * @param remainingNanos how long the client will still wait, in nanoseconds; -1 if it did not state it
  */
-public record Request(MessageHead head, byte[] body, BodyRelay upload, String id, String product, long left) {
+public record Request(MessageHead head, byte[] body, BodyRelay upload, String id, String product, long remainingNanos) {
 
     private static final int MAX_ID_LENGTH = 200;
 
--- a/balancer/src/test/java/gorsestack/wire/HttpParserTest.java
+++ b/balancer/src/test/java/gorsestack/wire/HttpParserTest.java
@@ -52,7 +52,7 @@
                 Request request = Request.of(parser.head(), parser.body(), null);
                 assertEquals(
                         "9b1f publicar 480000000 null",
-                        request.id() + " " + request.product() + " " + request.left() + " "
+                        request.id() + " " + request.product() + " " + request.remainingNanos() + " "
                                 + request.retrySafetyViolation(Settings.Repeat.DEDUPLICATED));
                 assertEquals(
                         "POST /publicar/x?a=b HTTP/1.1\r\nHost: service.internal\r\nX-Correlation-Id: 9b1f\r\n"
