--- a/balancer/src/main/java/gorsestack/proxy/CallDispatcher.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallDispatcher.java
@@ -122,7 +122,7 @@
         ActiveCall call = calls.add(from, request);
         // The time of a call whose large body is incomplete does not count yet.
         long remaining = request.upload() != null ? Long.MAX_VALUE : deadlines.start(call, arrivedAt);
-        recovery.onCall(clock.inputTime(), request.again());
+        recovery.onCall(clock.inputTime(), request.markedAsRetry());
         trace.log(
                 "call={0} event=received product={1} remaining_ms={2} connection={3}",
                 call.id, request.product(), remaining / 1_000_000, from.number());
--- a/balancer/src/main/java/gorsestack/wire/Request.java
+++ b/balancer/src/main/java/gorsestack/wire/Request.java
@@ -51,7 +51,7 @@
     }
 
     /** Returns whether its client marks it as a retry. */
-    public boolean again() {
+    public boolean markedAsRetry() {
         return "1".equals(head.field("x-repeat"));
     }
 
