--- a/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
@@ -279,8 +279,9 @@
     public boolean mayContinueConnecting(UpstreamConnection connection) {
         return acceptsRequests(connection)
                 && all.stream()
-                        .noneMatch(other ->
-                                other != connection && other.spare() && other.upstream.equals(connection.upstream));
+                        .noneMatch(other -> other != connection
+                                && other.connectingWithoutAttempt()
+                                && other.upstream.equals(connection.upstream));
     }
 
     @Override
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -338,7 +338,7 @@
     }
 
     /** Returns whether the connection is being established and no attempt waits for it. */
-    public boolean spare() {
+    public boolean connectingWithoutAttempt() {
         return connecting() && attempt == null;
     }
 
