--- a/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
@@ -232,7 +232,7 @@
     }
 
     @Override
-    public void free(UpstreamConnection connection) {
+    public void becameIdle(UpstreamConnection connection) {
         if (!acceptsRequests(connection)) {
             connection.close();
             return;
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -151,7 +151,7 @@
             request.stopWaiting();
             writeRequest();
         } else {
-            owner.free(this);
+            owner.becameIdle(this);
         }
     }
 
@@ -240,7 +240,7 @@
         if (!reusable || moreBytes || head.hasToken("connection", "close") || head.start[0].equals("HTTP/1.0")) {
             close();
         } else {
-            owner.free(this);
+            owner.becameIdle(this);
         }
         if (completed != null) {
             Outcome outcome = AttemptOutcomes.ofResponse(head);
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnectionOwner.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnectionOwner.java
@@ -3,7 +3,7 @@
 /** The pool that owns upstream connections. Called by them on the event loop's thread. */
 public interface UpstreamConnectionOwner {
     /** Called when the connection has been established or its response is complete, and it carries no attempt. */
-    void free(UpstreamConnection connection);
+    void becameIdle(UpstreamConnection connection);
 
     /** Called when the connection has ended; may be called twice. */
     void closed(UpstreamConnection connection);
--- a/balancer/src/test/java/gorsestack/wire/UpstreamConnectionStatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/UpstreamConnectionStatesTest.java
@@ -40,7 +40,7 @@
         boolean callOpen = true;
 
         @Override
-        public void free(UpstreamConnection connection) {}
+        public void becameIdle(UpstreamConnection connection) {}
 
         @Override
         public void closed(UpstreamConnection connection) {}
