--- a/balancer/src/main/java/gorsestack/proxy/ProductTable.java
+++ b/balancer/src/main/java/gorsestack/proxy/ProductTable.java
@@ -28,6 +28,6 @@
     /** Returns for how long the client waits, in nanoseconds: its product's timeout, or less if the request states less. */
     long clientTimeout(Request request) {
         long configured = of(request).clientTimeout();
-        return request.left() < 0 ? configured : Math.min(configured, request.left());
+        return request.remainingNanos() < 0 ? configured : Math.min(configured, request.remainingNanos());
     }
 }
--- a/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public void free(UpstreamConnection connection) {
+    public void becameIdle(UpstreamConnection connection) {
         if (!acceptsRequests(connection)) {
             connection.close();
             return;
@@ -280,8 +280,9 @@
     public boolean mayContinueConnecting(UpstreamConnection connection) {
         return acceptsRequests(connection)
                 && connections.stream()
-                        .noneMatch(other ->
-                                other != connection && other.spare() && other.upstream.equals(connection.upstream));
+                        .noneMatch(other -> other != connection
+                                && other.connectingWithoutAttempt()
+                                && other.upstream.equals(connection.upstream));
     }
 
     @Override
