--- a/balancer/src/main/java/gorsestack/recovery/PeerLearnedState.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerLearnedState.java
@@ -7,12 +7,15 @@
 import java.util.List;
 import java.util.zip.CRC32;
 
-/** Collects what peers of the same zone have learned, and merges it for a process that has learned nothing itself. */
+/**
+ * Collects the learned state of peers in the same zone, and merges it for a process that has learned nothing itself. Used by
+ * {@link PeerRecovery} on its thread.
+ */
 final class PeerLearnedState {
     private final int[] zoneHashes;
     private final List<List<LocalityState>> responses = new ArrayList<>();
 
-    /** @param zones names in the order of the localities of learned state, the own zone first */
+    /** @param zones zone names in the order of the localities of learned state, this balancer's zone first */
     PeerLearnedState(List<String> zones) {
         zoneHashes = zones.stream().mapToInt(PeerLearnedState::hash).toArray();
     }
@@ -23,18 +26,18 @@
         return (int) crc.getValue();
     }
 
-    /** Learned state of this process as it is sent to peers. */
-    List<LocalityState> labelled(List<LearnedLocality> learned) {
-        List<LocalityState> labelled = new ArrayList<>();
+    /** Returns this process's learned state as it is sent to peers, each locality with the hash of its zone name. */
+    List<LocalityState> withZoneHashes(List<LearnedLocality> learned) {
+        List<LocalityState> withZoneHashes = new ArrayList<>();
         for (int i = 0; i < Math.min(learned.size(), zoneHashes.length); i++) {
-            labelled.add(new LocalityState(zoneHashes[i], learned.get(i)));
+            withZoneHashes.add(new LocalityState(zoneHashes[i], learned.get(i)));
         }
-        return labelled;
+        return withZoneHashes;
     }
 
     /**
-     * Adds a peer's state if the peer is of the same zone. Concurrency limits are shares of what upstreams can take, and balancers of
-     * another zone have other shares.
+     * Adds a peer's state if the peer is in the same zone. A concurrency limit is one balancer's quota of the upstreams' capacity, and
+     * balancers of another zone have other quotas.
      */
     void add(List<LocalityState> learned) {
         if (zoneHashes.length > 0 && !learned.isEmpty() && learned.get(0).zoneHash() == zoneHashes[0]) {
@@ -50,7 +53,10 @@
         responses.clear();
     }
 
-    /** For each locality the lowest concurrency limit and the mean latency ratios; response rates are each balancer's own. */
+    /**
+     * Returns for each locality the lowest concurrency limit and the mean latency ratios. Response rates stay 0, as they differ from
+     * balancer to balancer.
+     */
     List<LearnedLocality> merged() {
         List<LearnedLocality> merged = new ArrayList<>();
         for (int zoneHash : zoneHashes) {
--- a/balancer/src/main/java/gorsestack/recovery/PeerMessage.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerMessage.java
@@ -6,29 +6,31 @@
 import java.util.Optional;
 
 /**
- * One decoded datagram between balancers; {@link PeerMessageCodec} reads and writes its bytes.
+ * A datagram from a peer with its header decoded. {@link PeerMessageCodec} reads and writes the bytes; {@link PeerRecovery} handles the
+ * message on its thread.
  *
- * @param kind what the payload holds
- * @param incarnation of the process that sent it
- * @param uptime how long that process had run then, in nanoseconds; an age, since clocks of different hosts are not comparable
- * @param payload not decoded yet
+ * @param kind type of the payload
+ * @param incarnation incarnation of the sending process
+ * @param uptime uptime of the sending process when it sent the message, in nanoseconds; a duration, since clocks of different hosts are not
+ *     comparable
+ * @param payload bytes behind the header, not decoded yet
  */
 record PeerMessage(Kind kind, long incarnation, long uptime, ByteBuffer payload) {
     private static final List<Kind> KINDS = List.of(Kind.values());
 
-    /** What a datagram is for. The code is part of the wire format. */
+    /** Type of a datagram. The wire code is part of the wire format. */
     enum Kind {
-        /** Announces that the sender understands this protocol. */
+        /** Announces that the sender supports this protocol. */
         HELLO(0),
-        /** Carries a report of upstream load, which this package does not interpret. */
+        /** Carries a load report, whose content this package does not interpret. */
         LOAD_REPORT(1),
-        /** Sent by a process that has just started: asks for a peer's state. */
+        /** Requests a peer's state. Sent by a process that has just started. */
         STATE_REQUEST(2),
-        /** Answers a state request. */
+        /** Responds to a state request. */
         STATE_RESPONSE(3),
-        /** Maintenance orders of the sender, for the recipient to store. */
+        /** Carries maintenance orders of the sender for the recipient to store. */
         REPLICATE_ORDERS(4),
-        /** Maintenance orders of the recipient that the sender has stored. */
+        /** Carries maintenance orders of the recipient that the sender has stored. */
         REPLICATED_ORDERS(5);
 
         private final byte wireCode;
@@ -41,6 +43,7 @@
             return wireCode;
         }
 
+        /** Returns the kind with the given wire code; empty if there is none. */
         static Optional<Kind> ofWireCode(byte code) {
             for (Kind kind : KINDS) {
                 if (kind.wireCode == code) {
@@ -51,15 +54,15 @@
         }
     }
 
-    /** Learned state of the locality whose zone name has this hash. */
+    /** Learned state of one locality, which is identified by the CRC-32 of its zone name. */
     record LocalityState(int zoneHash, LearnedLocality learned) {}
 
     /**
-     * What a peer knows.
+     * State that a peer sends in response to a state request.
      *
-     * @param rememberedIncarnation the highest incarnation it has seen of the process that asked
-     * @param endpointIndex the index of the endpoint list it holds
-     * @param learned by locality, the peer's own one first; empty from a process that has started recently
+     * @param rememberedIncarnation highest incarnation that the peer has seen of the requesting balancer
+     * @param endpointIndex index of the peer's endpoint list
+     * @param learned learned state by locality, the peer's own locality first; empty from a process that has started recently
      */
     record StateResponse(long rememberedIncarnation, long endpointIndex, List<LocalityState> learned) {}
 }
--- a/balancer/src/main/java/gorsestack/recovery/PeerMessageCodec.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerMessageCodec.java
@@ -16,36 +16,39 @@
 import java.util.TreeMap;
 
 /**
- * The wire format of messages between balancers: version, kind, incarnation and uptime of the sender, then the kind's payload, in at most
- * 256 bytes. Numbers are big-endian. Times are sent as ages, since clocks of different hosts are not comparable. Any bytes may be
- * received; what is malformed decodes to an empty result.
+ * Encodes and decodes messages between balancers. A message holds the protocol version, its kind, the incarnation and the uptime of the
+ * sender, then the payload of its kind, in at most 256 bytes. Numbers are big-endian. Times are sent as ages, since clocks of different
+ * hosts are not comparable. A datagram may contain any bytes; a malformed one decodes to an empty result. Used by {@link PeerRecovery};
+ * stateless.
  */
 final class PeerMessageCodec {
-    /** The first byte. A load report without a header, as earlier versions send it, begins with 1. */
+    /** First byte of a message. A load report without a header, as earlier versions send it, begins with 1. */
     static final byte VERSION = 2;
 
+    /** Maximum length of a datagram in bytes. */
     static final int MAX_BYTES = 256;
+
     private static final int HEADER_BYTES = 14;
     private static final int STATE_RESPONSE_FIXED_BYTES = 16;
     private static final int LOCALITY_BYTES = 20;
-    /** Length of the name, age of the order and age of its end. */
+    /** Bytes of an order besides the name: length of the name, age of the order and age of its end. */
     private static final int ORDER_FIXED_BYTES = 17;
-    /** A longer name would not fit beside the rest, so orders for it are not replicated. */
+    /** Maximum length of a replicated upstream name in bytes. An order with a longer name would not fit into a datagram and is skipped. */
     private static final int MAX_NAME_BYTES = 120;
 
     private static final long NANOS_PER_MS = 1_000_000;
-    /** A longer uptime is sent as this one. */
+    /** Maximum uptime that can be sent, in milliseconds. A longer uptime is sent as this value. */
     private static final long MAX_UPTIME_MS = Integer.MAX_VALUE;
-    /** A larger age is malformed. */
+    /** Maximum valid age of an order or of its end, in nanoseconds. A larger age is malformed. */
     private static final long MAX_AGE_NANOS = 366L * 86_400 * 1_000_000_000L;
-    /** Neither a clock of milliseconds nor a count of starts reaches this within a thousand years. */
+    /** Maximum valid incarnation. Neither a clock in milliseconds nor a count of starts exceeds it within a thousand years. */
     private static final long MAX_INCARNATION = 1L << 46;
-    /** The age of the end of a maintenance order that has not ended. */
+    /** Value on the wire for the age of the end of a maintenance order that has not ended. */
     private static final long NOT_ENDED = -1;
 
     private PeerMessageCodec() {}
 
-    /** Decodes the header; empty if it is malformed. */
+    /** Decodes the header of a datagram; returns empty if the header is malformed. */
     static Optional<PeerMessage> decode(byte[] datagram) {
         if (datagram.length < HEADER_BYTES || datagram.length > MAX_BYTES || datagram[0] != VERSION) {
             return Optional.empty();
@@ -68,35 +71,38 @@
                 .putInt((int) Math.max(0, Math.min(MAX_UPTIME_MS, uptime / NANOS_PER_MS)));
     }
 
-    private static byte[] written(ByteBuffer out) {
+    private static byte[] toBytes(ByteBuffer out) {
         byte[] datagram = new byte[out.position()];
         out.flip().get(datagram);
         return datagram;
     }
 
+    /** Encodes a {@link Kind#HELLO} message. */
     static byte[] hello(long incarnation, long uptime) {
-        return written(header(Kind.HELLO, incarnation, uptime));
+        return toBytes(header(Kind.HELLO, incarnation, uptime));
     }
 
+    /** Encodes a {@link Kind#STATE_REQUEST} message. */
     static byte[] stateRequest(long incarnation, long uptime) {
-        return written(header(Kind.STATE_REQUEST, incarnation, uptime));
+        return toBytes(header(Kind.STATE_REQUEST, incarnation, uptime));
     }
 
-    /** Empty if the report does not fit. */
+    /** Encodes a load report; returns empty if the report does not fit into a datagram. */
     static Optional<byte[]> loadReport(long incarnation, long uptime, byte[] report) {
         return report.length + HEADER_BYTES > MAX_BYTES
                 ? Optional.empty()
                 : Optional.of(
-                        written(header(Kind.LOAD_REPORT, incarnation, uptime).put(report)));
+                        toBytes(header(Kind.LOAD_REPORT, incarnation, uptime).put(report)));
     }
 
+    /** Returns the load report that a {@link Kind#LOAD_REPORT} message carries. */
     static byte[] loadReport(PeerMessage message) {
         byte[] report = new byte[message.payload().remaining()];
         message.payload().duplicate().get(report);
         return report;
     }
 
-    /** Localities that do not fit are left out. */
+    /** Encodes a state response. Localities that do not fit into the datagram are omitted. */
     static byte[] stateResponse(long incarnation, long uptime, StateResponse response) {
         ByteBuffer out = header(Kind.STATE_RESPONSE, incarnation, uptime)
                 .putLong(response.rememberedIncarnation())
@@ -111,10 +117,10 @@
                         .putFloat((float) learned.responseRate());
             }
         }
-        return written(out);
+        return toBytes(out);
     }
 
-    /** Empty if the payload is malformed. */
+    /** Decodes the payload of a {@link Kind#STATE_RESPONSE} message; returns empty if it is malformed. */
     static Optional<StateResponse> stateResponse(PeerMessage message) {
         ByteBuffer in = message.payload().duplicate();
         int localityBytes = in.remaining() - STATE_RESPONSE_FIXED_BYTES;
@@ -138,7 +144,7 @@
         return Optional.of(new StateResponse(remembered, index, localities));
     }
 
-    /** As many datagrams as are needed; each can be decoded without the others. */
+    /** Encodes maintenance orders in as many datagrams as are needed. Each datagram can be decoded without the others. */
     static List<byte[]> orders(
             Kind kind, long incarnation, long uptime, Map<String, MaintenanceOrder> orders, long now) {
         List<byte[]> datagrams = new ArrayList<>();
@@ -149,23 +155,23 @@
                 continue;
             }
             if (out != null && out.remaining() < name.length + ORDER_FIXED_BYTES) {
-                datagrams.add(written(out));
+                datagrams.add(toBytes(out));
                 out = null;
             }
             out = out != null ? out : header(kind, incarnation, uptime);
-            long back = order.getValue().endedAt();
+            long endedAt = order.getValue().endedAt();
             out.put((byte) name.length)
                     .put(name)
                     .putLong(Math.max(0, now - order.getValue().orderedAt()))
-                    .putLong(back == PersistentState.NOT_ENDED ? NOT_ENDED : Math.max(0, now - back));
+                    .putLong(endedAt == PersistentState.NOT_ENDED ? NOT_ENDED : Math.max(0, now - endedAt));
         }
         if (out != null) {
-            datagrams.add(written(out));
+            datagrams.add(toBytes(out));
         }
         return datagrams;
     }
 
-    /** Orders by upstream, with times on this host's clock; empty if the payload is malformed. */
+    /** Decodes maintenance orders by upstream, with times on this host's clock; returns empty if the payload is malformed. */
     static Optional<Map<String, MaintenanceOrder>> orders(PeerMessage message, long now) {
         ByteBuffer in = message.payload().duplicate();
         Map<String, MaintenanceOrder> orders = new TreeMap<>();
@@ -178,8 +184,8 @@
                 if (name.length == 0 || !isAge(orderAge) || !(endAge == NOT_ENDED || isAge(endAge))) {
                     return Optional.empty();
                 }
-                long back = endAge == NOT_ENDED ? PersistentState.NOT_ENDED : now - endAge;
-                orders.put(decodeUtf8(name), new MaintenanceOrder(back, now - orderAge));
+                long endedAt = endAge == NOT_ENDED ? PersistentState.NOT_ENDED : now - endAge;
+                orders.put(decodeUtf8(name), new MaintenanceOrder(endedAt, now - orderAge));
             }
         } catch (BufferUnderflowException | NegativeArraySizeException | CharacterCodingException e) {
             return Optional.empty();
--- a/balancer/src/main/java/gorsestack/recovery/PeerRecovery.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerRecovery.java
@@ -10,52 +10,64 @@
 import java.util.Optional;
 
 /**
- * The protocol by which balancers help one another to recover. A process that has started asks a few peers for its highest incarnation,
- * for the index of their endpoint list, for learned state and for its maintenance orders, which peers replicate. All messages carry the
- * sender's incarnation, so that those of replaced processes are recognised. Given the time with each call; nothing waits for a response.
+ * Protocol by which a balancer restores state from its peers after a restart. A process that has just started requests from a few peers
+ * the highest incarnation they have seen of it, the index of their endpoint list, their learned state, and its own maintenance orders,
+ * which peers replicate. Every message carries the incarnation of the sender, so that messages of replaced processes are detected.
+ *
+ * <p>Used by the server package on the event loop's thread. Callers pass the current time. This class performs no I/O: it sends messages
+ * and schedules timers through {@link Actions}, and no method waits for a response.
  */
 public final class PeerRecovery {
-    /** What the protocol causes. */
+    /** Effects of the protocol, which the owner carries out. Called on the thread that calls {@link PeerRecovery}. */
     public interface Actions {
-        /** Sends a datagram to a peer, by its index; it may be lost. */
+        /** Sends a datagram to the peer with the given index. The datagram may be lost. */
         void send(int peer, byte[] message);
 
-        /** {@link PeerRecovery#check} is to be called then. */
-        void scheduleCheck(long at);
+        /** Schedules a call of {@link PeerRecovery#check} at the given time. */
+        void scheduleCheck(long checkTime);
 
-        /** A peer remembers a higher incarnation than this process had; it uses the given one from now on. */
+        /** Called when a peer has seen a higher incarnation than this process had. This process uses the given one from now on. */
         void incarnationRaised(long incarnation);
 
-        /** A peer has sent maintenance orders that it stored for this balancer. */
+        /** Called when a peer has sent the maintenance orders that it stored for this balancer. */
         void ordersRestored(Map<String, MaintenanceOrder> orders);
 
-        /** A peer holds a later endpoint list than this process. */
+        /** Called when a peer has a later endpoint list than this process. */
         void endpointListOutdated(long peerIndex);
 
-        /** What peers of the same zone have learned, for a process that has learned nothing itself. */
+        /** Called with the merged learned state of peers in the same zone, if this process has none of its own. */
         void learnedStateRestored(List<LearnedLocality> learned);
 
-        /** Most of the peers asked are silent, so restored learned state was learned in a larger fleet. */
+        /** Called when most of the requested peers are silent. Restored learned state was then learned in a larger fleet. */
         void mostPeersSilent();
     }
 
-    /** State of this process that peers may ask for. */
+    /** State of this process that peers may request. */
     public interface LocalState {
-        /** The index of the endpoint list in use. */
+        /** Returns the index of the endpoint list in use. */
         long endpointIndex();
 
-        /** What this process has learned, its own zone first. */
+        /** Returns the learned state of this process by locality, its own zone first. */
         List<LearnedLocality> learned();
     }
 
-    /** Numbers of messages that were dropped: from replaced processes, malformed, and requests over the rate limit. */
+    /**
+     * Counts of dropped messages.
+     *
+     * @param stale messages from processes that have been replaced
+     * @param malformed messages that could not be decoded or were not expected
+     * @param rateLimited requests above the rate limit
+     */
     public record DroppedMessages(long stale, long malformed, long rateLimited) {}
 
     private static final long SECOND = 1_000_000_000L;
-    /** Prevents that processes that restart at once slow down a peer; further requests within a second get no response. */
+    /**
+     * Maximum number of responses within a second; further requests get no response. Prevents many processes that restart together from
+     * slowing down a peer.
+     */
     private static final int RESPONSES_PER_SECOND = 10;
-    /** Past this share of silent peers the fleet counts as mostly gone. */
-    private static final double MOST_SILENT = 0.5;
+    /** Fraction of silent peers above which most of the fleet counts as down. */
+    private static final double MAX_SILENT_FRACTION = 0.5;
 
     private final long startedAt;
     private final long recentlyStarted;
@@ -76,15 +88,18 @@
     private long rateLimited;
 
     /**
-     * @param self number of this balancer
-     * @param count of all balancers
-     * @param recentlyStarted a process with a shorter uptime counts as recently started
-     * @param zones names in the order of the localities of learned state, the own zone first
+     * Starts the protocol for a process that has just started.
+     *
+     * @param self index of this balancer
+     * @param balancerCount number of balancers in the fleet
+     * @param recentlyStarted uptime in nanoseconds below which a process counts as recently started
+     * @param zones zone names in the order of the localities of learned state, this balancer's zone first
      * @param needsLearnedState whether this process has no learned state of its own
+     * @param seed seed for the choice of peers and for jitter
      */
     public PeerRecovery(
             int self,
-            int count,
+            int balancerCount,
             long incarnation,
             long now,
             long recentlyStarted,
@@ -100,16 +115,16 @@
         this.actions = actions;
         startedAt = now;
         random = new SeededRandom(seed);
-        peers = new PeerTable(count, recentlyStarted);
-        requests = new StateRequests(self, count, now, random);
+        peers = new PeerTable(balancerCount, recentlyStarted);
+        requests = new StateRequests(self, balancerCount, now, random);
         peerLearnedState = new PeerLearnedState(zones);
-        replication = new OrderReplication(self, count);
+        replication = new OrderReplication(self, balancerCount);
         if (requests.nextRoundAt() < Long.MAX_VALUE) {
             actions.scheduleCheck(requests.nextRoundAt());
         }
     }
 
-    /** The incarnation that this process uses now. */
+    /** Returns the incarnation that this process uses now. */
     public long incarnation() {
         return incarnation;
     }
@@ -118,18 +133,22 @@
         return now - startedAt;
     }
 
-    /** A load report as it is sent to a peer: with a header if the peer is known to understand it. */
+    /** Returns a load report as it is sent to a peer: with a header if the peer is known to support it, else unchanged. */
     public byte[] encodeLoadReport(long now, int peer, byte[] report) {
-        if (!peers.understandsNumbered(now, peer)) {
+        if (!peers.supportsHeader(now, peer)) {
             return report;
         }
         return PeerMessageCodec.loadReport(incarnation, uptime(now), report).orElse(report);
     }
 
-    /** Handles a peer's datagram. The load report that it carries, or null if it carries none or is stale. */
-    public byte[] receive(long now, int from, byte[] datagram) {
+    /**
+     * Handles a peer's datagram.
+     *
+     * @return the load report that the datagram carries; null if it carries none, or is malformed or stale
+     */
+    public byte[] receive(long now, int sender, byte[] datagram) {
         if (datagram.length > 0 && datagram[0] != PeerMessageCodec.VERSION) {
-            return receivePlain(now, from, datagram);
+            return receiveHeaderless(now, sender, datagram);
         }
         Optional<PeerMessage> decoded = PeerMessageCodec.decode(datagram);
         if (decoded.isEmpty()) {
@@ -137,52 +156,52 @@
             return null;
         }
         PeerMessage message = decoded.get();
-        if (peers.isStale(from, message)) {
+        if (peers.isStale(sender, message)) {
             stale++;
-            // A process whose clock was set back may be the later one; the response tells it which incarnation to
-            // exceed.
-            if (peers.takeStaleResponse(now, from, message.kind() == Kind.STATE_REQUEST)) {
-                respond(now, from);
+            // After its clock was set back, a peer's current process may have a lower incarnation than the previous one. The
+            // response contains the incarnation that it has to exceed.
+            if (peers.takeStaleResponsePermit(now, sender, message.kind() == Kind.STATE_REQUEST)) {
+                respond(now, sender);
             }
             return null;
         }
-        peers.record(now, from, message);
+        peers.record(now, sender, message);
         if (message.kind() == Kind.LOAD_REPORT) {
             return PeerMessageCodec.loadReport(message);
         }
-        handle(now, from, message);
+        handle(now, sender, message);
         return null;
     }
 
-    private byte[] receivePlain(long now, int from, byte[] report) {
-        if (!peers.acceptsPlain(now, from)) {
+    private byte[] receiveHeaderless(long now, int sender, byte[] report) {
+        if (!peers.acceptsHeaderless(now, sender)) {
             stale++;
             return null;
         }
-        if (peers.takeGreeting(now, from)) {
-            actions.send(from, PeerMessageCodec.hello(incarnation, uptime(now)));
+        if (peers.takeHelloPermit(now, sender)) {
+            actions.send(sender, PeerMessageCodec.hello(incarnation, uptime(now)));
         }
         return report;
     }
 
-    private void handle(long now, int from, PeerMessage message) {
+    private void handle(long now, int sender, PeerMessage message) {
         switch (message.kind()) {
-            case STATE_REQUEST -> respond(now, from);
+            case STATE_REQUEST -> respond(now, sender);
             case STATE_RESPONSE ->
                 PeerMessageCodec.stateResponse(message)
-                        .ifPresentOrElse(response -> onStateResponse(from, response), this::countMalformed);
+                        .ifPresentOrElse(response -> onStateResponse(sender, response), this::countMalformed);
             case REPLICATE_ORDERS -> {
                 Optional<Map<String, MaintenanceOrder>> orders = PeerMessageCodec.orders(message, now);
-                if (orders.isEmpty() || !replication.store(from, orders.get())) {
+                if (orders.isEmpty() || !replication.store(sender, orders.get())) {
                     countMalformed();
                 }
             }
             case REPLICATED_ORDERS -> {
                 Optional<Map<String, MaintenanceOrder>> orders =
-                        requests.wasRequested(from) ? PeerMessageCodec.orders(message, now) : Optional.empty();
+                        requests.wasRequested(sender) ? PeerMessageCodec.orders(message, now) : Optional.empty();
                 orders.ifPresentOrElse(actions::ordersRestored, this::countMalformed);
             }
-            default -> {} // a greeting says no more than its header
+            default -> {} // A HELLO message consists of its header alone.
         }
     }
 
@@ -190,7 +209,7 @@
         malformed++;
     }
 
-    private void respond(long now, int to) {
+    private void respond(long now, int recipient) {
         if (now - responseWindowStart >= SECOND) {
             responseWindowStart = now;
             responsesInWindow = 0;
@@ -202,18 +221,18 @@
         long uptime = uptime(now);
         List<LearnedLocality> learned = uptime < recentlyStarted ? List.of() : localState.learned();
         StateResponse response = new StateResponse(
-                peers.highestIncarnation(to), localState.endpointIndex(), peerLearnedState.labelled(learned));
-        actions.send(to, PeerMessageCodec.stateResponse(incarnation, uptime, response));
-        PeerMessageCodec.orders(Kind.REPLICATED_ORDERS, incarnation, uptime, replication.storedFor(to), now)
-                .forEach(datagram -> actions.send(to, datagram));
+                peers.highestIncarnation(recipient), localState.endpointIndex(), peerLearnedState.withZoneHashes(learned));
+        actions.send(recipient, PeerMessageCodec.stateResponse(incarnation, uptime, response));
+        PeerMessageCodec.orders(Kind.REPLICATED_ORDERS, incarnation, uptime, replication.storedFor(recipient), now)
+                .forEach(datagram -> actions.send(recipient, datagram));
     }
 
-    private void onStateResponse(int from, StateResponse response) {
+    private void onStateResponse(int sender, StateResponse response) {
         if (response.rememberedIncarnation() > incarnation) {
             incarnation = response.rememberedIncarnation() + 1;
             actions.incarnationRaised(incarnation);
         }
-        if (!requests.recordResponse(from)) {
+        if (!requests.recordResponse(sender)) {
             return;
         }
         if (response.endpointIndex() > Math.max(highestPeerIndex, localState.endpointIndex())) {
@@ -223,21 +242,21 @@
         peerLearnedState.add(response.learned());
     }
 
-    /** Of the peers asked, the share that has not responded; NaN before the first round is over. */
+    /** Returns the fraction of requested peers that have not responded; NaN before the first round is over. */
     public double silentFraction(long now) {
         return requests.silentFraction(now);
     }
 
-    /** Of the peers seen lately, the share that had started recently; NaN if too few were seen. */
+    /** Returns the fraction of recently seen peers that had started recently; NaN if too few peers were seen. */
     public double recentlyStartedFraction(long now) {
         return peers.recentlyStartedFraction(now);
     }
 
-    /** Replicates all maintenance orders of this balancer from now on, in place of those given before. */
+    /** Replicates all maintenance orders of this balancer from now on; they replace the orders of the previous call. */
     public void replicate(long now, Map<String, MaintenanceOrder> orders) {
         replication.setOwnOrders(now, orders);
         sendOwnOrders(now);
-        actions.scheduleCheck(replication.nextAt());
+        actions.scheduleCheck(replication.nextSendAt());
     }
 
     private void sendOwnOrders(long now) {
@@ -248,13 +267,13 @@
         }
     }
 
-    /** Does what is due. */
+    /** Sends repeats and requests that are due at the given time. */
     public void check(long now) {
-        if (now >= replication.nextAt()) {
+        if (now >= replication.nextSendAt()) {
             sendOwnOrders(now);
             replication.scheduleRepeat(now, random);
-            if (replication.nextAt() < Long.MAX_VALUE) {
-                actions.scheduleCheck(replication.nextAt());
+            if (replication.nextSendAt() < Long.MAX_VALUE) {
+                actions.scheduleCheck(replication.nextSendAt());
             }
         }
         if (now < requests.nextRoundAt()) {
@@ -278,7 +297,7 @@
     private void finishRequests(long now) {
         double silentFraction = requests.silentFraction(now);
         requests.finish();
-        if (silentFraction > MOST_SILENT) {
+        if (silentFraction > MAX_SILENT_FRACTION) {
             actions.mostPeersSilent();
         } else if (needsLearnedState && !peerLearnedState.isEmpty()) {
             actions.learnedStateRestored(peerLearnedState.merged());
@@ -287,12 +306,12 @@
         peerLearnedState.clear();
     }
 
-    /** How many messages were dropped so far, by cause. */
+    /** Returns how many messages have been dropped since the start, by cause. */
     public DroppedMessages dropped() {
         return new DroppedMessages(stale, malformed, rateLimited);
     }
 
-    /** Maintenance orders stored for other balancers, by balancer. */
+    /** Returns the maintenance orders stored here for other balancers, by balancer. */
     public Map<Integer, Map<String, MaintenanceOrder>> replicatedFor() {
         return replication.replicatedFor();
     }
--- a/balancer/src/main/java/gorsestack/recovery/PeerTable.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerTable.java
@@ -1,72 +1,85 @@
 package gorsestack.recovery;
 
-/** What a balancer knows of each peer's processes from their messages. Given the time with each call; performs no I/O. */
+/**
+ * State of each peer's process as far as it follows from the peer's messages. Used by {@link PeerRecovery} on its thread. Callers pass the
+ * current time; this class performs no I/O.
+ */
 final class PeerTable {
     private static final long SECOND = 1_000_000_000L;
-    /** A greeting is repeated this often to a peer that has not shown that it understands numbered messages. */
+    /** Interval in nanoseconds at which HELLO is repeated to a peer that has not shown that it supports message headers. */
     private static final long HELLO_INTERVAL = 60 * SECOND;
-    /** A numbered message proves for this long that the peer understands them. */
-    private static final long NUMBERED_VALIDITY = 2 * HELLO_INTERVAL;
-    /** A peer that sends plain messages this long after its last numbered one runs an earlier version again. */
+    /** Time in nanoseconds for which a message with a header proves that the peer supports headers. */
+    private static final long HEADER_SUPPORT_VALIDITY = 2 * HELLO_INTERVAL;
+    /**
+     * Time in nanoseconds since a peer's last message with a header, after which messages without one show that the peer runs an earlier
+     * version again.
+     */
     private static final long DOWNGRADE_DELAY = 10 * SECOND;
-    /** A stale process is answered this often, so that it learns of its successor's incarnation. */
+    /** Interval in nanoseconds at which a stale process gets a response, from which it learns the incarnation it has to exceed. */
     private static final long STALE_RESPONSE_INTERVAL = SECOND;
-    /** Of fewer peers the share that has started recently says nothing. */
-    private static final int MIN_PEERS_FOR_SHARE = 3;
+    /** Minimum number of seen peers from which the fraction of recently started ones is evidence, unless the fleet is smaller. */
+    private static final int MIN_PEERS_FOR_FRACTION = 3;
 
-    private final int count;
+    private final int balancerCount;
     private final long recentlyStarted;
     private final long[] highestIncarnation;
-    /** Time of the last numbered message, or 0. */
+    /** Time of the last message with a header, by peer; 0 if there was none. */
     private final long[] lastSeenAt;
 
     private final long[] processStartedAt;
-    private final long[] greetedAt;
+    /** Time of the last HELLO message or response to a stale process, by peer; 0 if there was none. */
+    private final long[] lastGreetingAt;
 
-    /** @param recentlyStarted a process with a shorter uptime counts as recently started */
-    PeerTable(int count, long recentlyStarted) {
-        this.count = count;
+    /** @param recentlyStarted uptime in nanoseconds below which a process counts as recently started */
+    PeerTable(int balancerCount, long recentlyStarted) {
+        this.balancerCount = balancerCount;
         this.recentlyStarted = recentlyStarted;
-        highestIncarnation = new long[count];
-        lastSeenAt = new long[count];
-        processStartedAt = new long[count];
-        greetedAt = new long[count];
+        highestIncarnation = new long[balancerCount];
+        lastSeenAt = new long[balancerCount];
+        processStartedAt = new long[balancerCount];
+        lastGreetingAt = new long[balancerCount];
     }
 
+    /** Returns the highest incarnation seen of a peer; 0 if none was seen. */
     long highestIncarnation(int peer) {
         return highestIncarnation[peer];
     }
 
-    /** Whether a message comes from a process that has been replaced by a later one. */
+    /** Returns whether a message comes from a process that has been replaced by one with a higher incarnation. */
     boolean isStale(int peer, PeerMessage message) {
         return message.incarnation() < highestIncarnation[peer];
     }
 
-    /** Whether a stale process is due a response; it counts as given. */
-    boolean takeStaleResponse(long now, int peer, boolean requested) {
-        if (requested || now - greetedAt[peer] > STALE_RESPONSE_INTERVAL) {
-            greetedAt[peer] = now;
+    /**
+     * Returns whether a response may be sent to a stale process now. If so, the response counts as sent.
+     *
+     * @param requested whether the process has sent a state request; the response is then not limited by the interval
+     */
+    boolean takeStaleResponsePermit(long now, int peer, boolean requested) {
+        if (requested || now - lastGreetingAt[peer] > STALE_RESPONSE_INTERVAL) {
+            lastGreetingAt[peer] = now;
             return true;
         }
         return false;
     }
 
-    /** Records a numbered message that is not stale. */
+    /** Records a message with a header that is not stale. */
     void record(long now, int peer, PeerMessage message) {
         highestIncarnation[peer] = message.incarnation();
         lastSeenAt[peer] = now;
         processStartedAt[peer] = Math.max(processStartedAt[peer], now - message.uptime());
     }
 
-    boolean understandsNumbered(long now, int peer) {
-        return lastSeenAt[peer] > 0 && now - lastSeenAt[peer] < NUMBERED_VALIDITY;
+    /** Returns whether a peer is known to support message headers. */
+    boolean supportsHeader(long now, int peer) {
+        return lastSeenAt[peer] > 0 && now - lastSeenAt[peer] < HEADER_SUPPORT_VALIDITY;
     }
 
     /**
-     * Whether a plain message may be taken. From a peer that numbers its messages, one without a number is of an earlier process and was
-     * delayed on its way.
+     * Returns whether a message without a header is accepted. If the peer has sent headers until recently, such a message was sent by an
+     * earlier process of the peer and delayed in the network.
      */
-    boolean acceptsPlain(long now, int peer) {
+    boolean acceptsHeaderless(long now, int peer) {
         if (lastSeenAt[peer] > 0 && now - lastSeenAt[peer] < DOWNGRADE_DELAY) {
             return false;
         }
@@ -74,26 +87,26 @@
         return true;
     }
 
-    /** Whether a peer that sends plain messages is due a greeting; it counts as given. */
-    boolean takeGreeting(long now, int peer) {
-        if (greetedAt[peer] == 0 || now - greetedAt[peer] > HELLO_INTERVAL) {
-            greetedAt[peer] = now;
+    /** Returns whether HELLO may be sent now to a peer that sends no headers. If so, it counts as sent. */
+    boolean takeHelloPermit(long now, int peer) {
+        if (lastGreetingAt[peer] == 0 || now - lastGreetingAt[peer] > HELLO_INTERVAL) {
+            lastGreetingAt[peer] = now;
             return true;
         }
         return false;
     }
 
-    /** Of the peers seen lately, the share that had started recently; NaN if too few were seen. */
+    /** Returns the fraction of recently seen peers that had started recently; NaN if too few peers were seen. */
     double recentlyStartedFraction(long now) {
-        int seen = 0;
-        int restarted = 0;
-        for (int peer = 0; peer < count; peer++) {
+        int seenPeers = 0;
+        int restartedPeers = 0;
+        for (int peer = 0; peer < balancerCount; peer++) {
             if (lastSeenAt[peer] > 0 && now - lastSeenAt[peer] < recentlyStarted) {
-                seen++;
-                restarted += now - processStartedAt[peer] < recentlyStarted ? 1 : 0;
+                seenPeers++;
+                restartedPeers += now - processStartedAt[peer] < recentlyStarted ? 1 : 0;
             }
         }
-        boolean tooFew = seen == 0 || (seen < MIN_PEERS_FOR_SHARE && seen < count - 1);
-        return tooFew ? Double.NaN : restarted / (double) seen;
+        boolean tooFew = seenPeers == 0 || (seenPeers < MIN_PEERS_FOR_FRACTION && seenPeers < balancerCount - 1);
+        return tooFew ? Double.NaN : restartedPeers / (double) seenPeers;
     }
 }
--- a/balancer/src/main/java/gorsestack/recovery/RecoveryProgress.java
+++ b/balancer/src/main/java/gorsestack/recovery/RecoveryProgress.java
@@ -3,23 +3,27 @@
 import java.util.function.BiConsumer;
 
 /**
- * Tracks the phases of recovery after a start. Each phase ends on a condition, or at a deadline without it, so that no phase waits for
- * ever on discovery or on calls. It only reports; nothing is held up by it. Given the time with each call; performs no I/O.
+ * Tracks the phases of recovery after a start, for the log and the status report; no other part waits for a phase. A phase ends when its
+ * condition holds, or at its deadline, so that no phase waits forever for discovery or for calls. Used by the recovery coordinator on the
+ * event loop's thread. Callers pass the current time; this class performs no I/O.
  */
 public final class RecoveryProgress {
-    /** Calls are counted in windows of this length. */
+    /** Length in nanoseconds of the windows in which calls are counted. */
     private static final long WINDOW_NANOS = 1_000_000_000L;
-    /** A window counts from this age on, so that it is evaluated before the next call replaces it. */
-    private static final long EVALUATED_NANOS = WINDOW_NANOS * 9 / 10;
-    /** Fewer calls in a window are no evidence. At ten calls a second each window has enough. */
+    /**
+     * Age in nanoseconds from which a window is evaluated. Shorter than the window, so that it is evaluated before a call starts the next
+     * window.
+     */
+    private static final long MIN_EVALUATED_AGE_NANOS = WINDOW_NANOS * 9 / 10;
+    /** Minimum number of calls in a window for the success rate to count. At 10 calls per second each window has enough. */
     private static final int MIN_CALLS = 5;
-    /** Of a window's calls. In normal operation one in a hundred fails. */
+    /** Minimum fraction of successful calls in a window. In normal operation 1 in 100 calls fails. */
     private static final double MIN_SUCCESS_RATE = 0.99;
 
     private final long startedAt;
     private final long listTimeout;
     private final long warmingTimeout;
-    private final BiConsumer<RecoveryPhase, String> onPhase;
+    private final BiConsumer<RecoveryPhase, String> onPhaseEntered;
     private RecoveryPhase phase = RecoveryPhase.COLD;
     private long phaseStartedAt;
     private boolean listReceived;
@@ -29,30 +33,34 @@
     private int successfulCalls;
 
     /**
-     * @param listTimeout after the start, recovery goes on with the restored list; by then every endpoint update counts as delivered
-     * @param warmingTimeout the slow start of upstreams, after which nothing more is gained by waiting
+     * Starts in phase COLD.
+     *
+     * @param listTimeout time in nanoseconds after the start at which recovery continues with the restored list, as every endpoint update
+     *     counts as delivered by then
+     * @param warmingTimeout maximum time in nanoseconds in phase WARMING; the length of the upstreams' slow start, after which waiting
+     *     longer has no benefit
      * @param onPhase receives each new phase and the reason for it
      */
     public RecoveryProgress(
-            long now, long listTimeout, long warmingTimeout, BiConsumer<RecoveryPhase, String> onPhase) {
+            long now, long listTimeout, long warmingTimeout, BiConsumer<RecoveryPhase, String> onPhaseEntered) {
         startedAt = now;
         phaseStartedAt = now;
         this.listTimeout = listTimeout;
         this.warmingTimeout = warmingTimeout;
-        this.onPhase = onPhase;
+        this.onPhaseEntered = onPhaseEntered;
     }
 
-    /** The current phase. */
+    /** Returns the current phase. */
     public RecoveryPhase phase() {
         return phase;
     }
 
-    /** When the current phase began. */
+    /** Returns the time at which the current phase began. */
     public long phaseStartedAt() {
         return phaseStartedAt;
     }
 
-    /** The deadline of the current phase, at which {@link #check} is to be called; Long.MAX_VALUE if it has none. */
+    /** Returns the deadline of the current phase, at which {@link #check} is to be called; Long.MAX_VALUE if the phase has none. */
     public long deadline() {
         return switch (phase) {
             case COLD -> startedAt + listTimeout;
@@ -61,20 +69,20 @@
         };
     }
 
-    /** Discovery has delivered an endpoint list. */
+    /** Records that discovery has delivered an endpoint list. */
     public void onListReceived(long now) {
         listReceived = true;
         check(now);
     }
 
-    /** Clients are accepted from now on. */
+    /** Records that clients are accepted from now on. */
     public void onAcceptingClients(long now) {
         acceptsClients = true;
         check(now);
     }
 
-    /** A call has had its response. */
-    public void onResponse(long now, boolean fulfilled) {
+    /** Counts a call that has got its response. */
+    public void onResponse(long now, boolean successful) {
         if (phase != RecoveryPhase.WARMING) {
             return;
         }
@@ -84,7 +92,7 @@
             successfulCalls = 0;
         }
         calls++;
-        successfulCalls += fulfilled ? 1 : 0;
+        successfulCalls += successful ? 1 : 0;
         check(now);
     }
 
@@ -92,24 +100,24 @@
     public void check(long now) {
         if (phase == RecoveryPhase.COLD && (listReceived || now >= deadline())) {
             String reason = listReceived
-                    ? "discovery has told a list"
-                    : "by the list of before, as discovery has told none in time";
+                    ? "endpoint list received from discovery"
+                    : "using the restored endpoint list, none received from discovery in time";
             enter(now, RecoveryPhase.LISTED, reason);
         }
         if (phase == RecoveryPhase.LISTED && acceptsClients) {
             windowStart = now;
-            enter(now, RecoveryPhase.WARMING, "takes in clients");
+            enter(now, RecoveryPhase.WARMING, "accepting clients");
         }
         if (phase == RecoveryPhase.WARMING && enoughCallsSucceed(now)) {
-            String reason = "served " + successfulCalls + " of " + calls + " calls within a second";
+            String reason = "served " + successfulCalls + " of " + calls + " calls successfully within a second";
             enter(now, RecoveryPhase.FULL, reason);
         } else if (phase == RecoveryPhase.WARMING && now >= deadline()) {
-            enter(now, RecoveryPhase.FULL, "as warm as it gets");
+            enter(now, RecoveryPhase.FULL, "slow start of the upstreams is over");
         }
     }
 
     private boolean enoughCallsSucceed(long now) {
-        return now - windowStart >= EVALUATED_NANOS
+        return now - windowStart >= MIN_EVALUATED_AGE_NANOS
                 && calls >= MIN_CALLS
                 && successfulCalls >= MIN_SUCCESS_RATE * calls;
     }
@@ -117,6 +125,6 @@
     private void enter(long now, RecoveryPhase next, String reason) {
         phase = next;
         phaseStartedAt = now;
-        onPhase.accept(next, reason);
+        onPhaseEntered.accept(next, reason);
     }
 }
--- a/balancer/src/main/java/gorsestack/recovery/RestartStormDetector.java
+++ b/balancer/src/main/java/gorsestack/recovery/RestartStormDetector.java
@@ -1,19 +1,21 @@
 package gorsestack.recovery;
 
 /**
- * Detects that this process has restarted together with most of its fleet, by what it observes: discovery rejects its requests, peers have
- * started recently, or most client requests are retries. Given the time with each call; performs no I/O.
+ * Detects that this process has restarted together with most of its fleet. Any of three observations is evidence: discovery rejects
+ * requests, most peers have started recently, or most client requests are retries. Used by the recovery coordinator on the event loop's
+ * thread. Callers pass the current time; this class performs no I/O.
  */
 public final class RestartStormDetector {
-    /** Of the peers seen; a rolling restart has few of them recently started at a time. */
-    private static final double MAX_RECENTLY_STARTED = 0.5;
-    /** Of the requests in a window. */
-    private static final double MAX_RETRIES = 0.5;
-    /** Discovery may reject one request by chance, and a second one only while many balancers ask. */
+    /** Fraction of recently started peers above which they are evidence. In a rolling restart few peers start at the same time. */
+    private static final double MAX_RECENTLY_STARTED_FRACTION = 0.5;
+    /** Fraction of retries among the requests of a window above which they are evidence of a restart. */
+    private static final double MAX_RETRY_FRACTION = 0.5;
+    /** Minimum number of rejections by discovery. One may occur by chance, a second one only while many balancers send requests. */
     private static final int MIN_REJECTIONS = 2;
 
+    /** Length in nanoseconds of the windows in which requests are counted. */
     private static final long WINDOW_NANOS = 1_000_000_000L;
-    /** A balancer has some tens of requests a second; the retry rate of fewer says nothing. */
+    /** Minimum number of requests in a window for the retry rate to count. A balancer receives some tens of requests per second. */
     private static final int MIN_REQUESTS = 10;
 
     private final long startedAt;
@@ -25,24 +27,28 @@
     private int retries;
     private boolean retryStorm;
 
-    /** @param duration what is observed later than this after the start is not caused by a restart */
+    /** @param duration time in nanoseconds after the start until which observations are attributed to a restart */
     public RestartStormDetector(long now, long duration) {
         startedAt = now;
         windowStart = now;
         this.duration = duration;
     }
 
-    /** Discovery has rejected a request for the endpoint list. */
+    /** Records that discovery has rejected a request for the endpoint list. */
     public void onDiscoveryRejection() {
         discoveryRejections++;
     }
 
-    /** The share of peers that had started recently; NaN where it is not known. */
+    /** Sets the fraction of peers that had started recently; NaN if it is not known. */
     public void setRecentlyStartedFraction(double fraction) {
         recentlyStartedFraction = Double.isNaN(fraction) ? 0 : fraction;
     }
 
-    /** A request has been received; retry is whether its client marks it as one. */
+    /**
+     * Counts a request.
+     *
+     * @param retry whether the client marks the request as a retry
+     */
     public void onRequest(long now, boolean retry) {
         if (now - windowStart >= WINDOW_NANOS) {
             retryStorm = mostAreRetries();
@@ -55,13 +61,16 @@
     }
 
     private boolean mostAreRetries() {
-        return requests >= MIN_REQUESTS && retries > MAX_RETRIES * requests;
+        return requests >= MIN_REQUESTS && retries > MAX_RETRY_FRACTION * requests;
     }
 
-    /** From 0, no evidence, to 1; with evidence it declines linearly from the start on until the duration is over. */
+    /**
+     * Returns the level of the restart storm from 0 to 1. Without evidence it is 0; with evidence it declines linearly from 1 at the start
+     * of the process to 0 at the end of the duration.
+     */
     public double level(long now) {
         boolean evidence = discoveryRejections >= MIN_REJECTIONS
-                || recentlyStartedFraction > MAX_RECENTLY_STARTED
+                || recentlyStartedFraction > MAX_RECENTLY_STARTED_FRACTION
                 || retryStorm
                 || mostAreRetries();
         return evidence ? Math.max(0, 1 - (now - startedAt) / (double) duration) : 0;
--- a/balancer/src/test/java/gorsestack/recovery/OrderReplicationTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/OrderReplicationTest.java
@@ -10,6 +10,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
+/** Guards against maintenance orders that are lost with a balancer's disk, and against replicas that store orders without bound. */
 class OrderReplicationTest {
     private static final long SECOND = 1_000_000_000L;
 
@@ -22,7 +23,7 @@
     }
 
     @Test
-    void theReplicasAreThreeOtherBalancers() {
+    void choosesThreeOtherBalancersAsReplicas() {
         assertEquals(List.of(6, 12, 18), OrderReplication.replicasOf(0, 24));
         assertEquals(List.of(1), OrderReplication.replicasOf(0, 2));
         assertEquals(List.of(), OrderReplication.replicasOf(0, 1));
@@ -36,7 +37,7 @@
     }
 
     @Test
-    void storesOrdersOfItsBalancersAlone() {
+    void storesOrdersOnlyForBalancersItIsReplicaOf() {
         OrderReplication replication = new OrderReplication(6, 24);
         assertTrue(replication.store(0, inMaintenance("s1")));
         assertFalse(replication.store(1, inMaintenance("s2")));
@@ -46,7 +47,7 @@
     }
 
     @Test
-    void dropsTheOrdersThatEndedFirstPastItsLimit() {
+    void dropsOrdersThatEndedFirstWhenLimitIsExceeded() {
         OrderReplication replication = new OrderReplication(6, 24);
         Map<String, PersistentState.MaintenanceOrder> orders = inMaintenance("out");
         for (int i = 0; i < 300; i++) {
@@ -59,18 +60,18 @@
     }
 
     @Test
-    void repeatsAfterOneSecondThenTwoThenHalfAMinute() {
+    void repeatsOrdersAfterOneThenTwoThenAtLeastThirtySeconds() {
         OrderReplication replication = new OrderReplication(0, 24);
         SeededRandom random = new SeededRandom(1);
-        assertEquals(Long.MAX_VALUE, replication.nextAt());
+        assertEquals(Long.MAX_VALUE, replication.nextSendAt());
         replication.setOwnOrders(0, inMaintenance("s1"));
-        assertEquals(SECOND, replication.nextAt());
+        assertEquals(SECOND, replication.nextSendAt());
         replication.scheduleRepeat(SECOND, random);
-        assertEquals(3 * SECOND, replication.nextAt());
+        assertEquals(3 * SECOND, replication.nextSendAt());
         replication.scheduleRepeat(3 * SECOND, random);
-        assertTrue(replication.nextAt() >= 33 * SECOND && replication.nextAt() <= 63 * SECOND);
+        assertTrue(replication.nextSendAt() >= 33 * SECOND && replication.nextSendAt() <= 63 * SECOND);
         replication.setOwnOrders(0, Map.of());
         replication.scheduleRepeat(SECOND, random);
-        assertEquals(Long.MAX_VALUE, replication.nextAt(), "there is nothing to repeat");
+        assertEquals(Long.MAX_VALUE, replication.nextSendAt(), "there are no orders to repeat");
     }
 }
--- a/balancer/src/test/java/gorsestack/recovery/PeerDatagramFormatTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/PeerDatagramFormatTest.java
@@ -13,14 +13,17 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams between balancers, one of each kind, as hexadecimal lines. */
+/**
+ * Guards against changes of the wire format between balancers, which would separate two versions during an upgrade. Compares a datagram of
+ * each kind, as hexadecimal text, with a fixture.
+ */
 class PeerDatagramFormatTest {
     private static final Fixture FIXTURE = new Fixture("peer-datagrams.txt");
     private static final long INCARNATION = 1_764_000_000_123L;
-    private static final long RAN_MS = 98_765;
-    private static final long RAN = RAN_MS * 1_000_000;
+    private static final long UPTIME_MS = 98_765;
+    private static final long UPTIME = UPTIME_MS * 1_000_000;
     private static final long NOW = 1_764_000_000_000_000_000L;
-    /** The fixture's word for each kind. */
+    /** Names of the kinds in the fixture. */
     private static final Map<PeerMessage.Kind, String> LABELS = Map.of(
             PeerMessage.Kind.HELLO, "HELLO",
             PeerMessage.Kind.LOAD_REPORT, "NEWS",
@@ -37,7 +40,7 @@
                     new PeerMessage.LocalityState(5, LearnedLocality.ofRow(4, 0.25, 0.5, 33)),
                     new PeerMessage.LocalityState(-6, LearnedLocality.ofRow(0, 1, 2, 999_999))));
 
-    /** Two names are long, so that the orders need two datagrams. */
+    /** Returns orders with two long names, so that they need two datagrams. */
     private static Map<String, PersistentState.MaintenanceOrder> orders() {
         Map<String, PersistentState.MaintenanceOrder> orders = new TreeMap<>();
         orders.put("s1", new PersistentState.MaintenanceOrder(PersistentState.NOT_ENDED, NOW - 3));
@@ -53,14 +56,14 @@
 
     private static String datagrams() {
         StringBuilder text = new StringBuilder();
-        text.append(line(PeerMessage.Kind.HELLO, PeerMessageCodec.hello(INCARNATION, RAN)));
+        text.append(line(PeerMessage.Kind.HELLO, PeerMessageCodec.hello(INCARNATION, UPTIME)));
         text.append(line(
                 PeerMessage.Kind.LOAD_REPORT,
-                PeerMessageCodec.loadReport(INCARNATION, RAN, LOAD_REPORT).orElseThrow()));
-        text.append(line(PeerMessage.Kind.STATE_REQUEST, PeerMessageCodec.stateRequest(INCARNATION, RAN)));
-        text.append(line(PeerMessage.Kind.STATE_RESPONSE, PeerMessageCodec.stateResponse(INCARNATION, RAN, RESPONSE)));
+                PeerMessageCodec.loadReport(INCARNATION, UPTIME, LOAD_REPORT).orElseThrow()));
+        text.append(line(PeerMessage.Kind.STATE_REQUEST, PeerMessageCodec.stateRequest(INCARNATION, UPTIME)));
+        text.append(line(PeerMessage.Kind.STATE_RESPONSE, PeerMessageCodec.stateResponse(INCARNATION, UPTIME, RESPONSE)));
         for (PeerMessage.Kind kind : List.of(PeerMessage.Kind.REPLICATE_ORDERS, PeerMessage.Kind.REPLICATED_ORDERS)) {
-            PeerMessageCodec.orders(kind, INCARNATION, RAN, orders(), NOW)
+            PeerMessageCodec.orders(kind, INCARNATION, UPTIME, orders(), NOW)
                     .forEach(datagram -> text.append(line(kind, datagram)));
         }
         return text.toString();
@@ -70,24 +73,24 @@
         return FIXTURE.text()
                 .lines()
                 .map(line -> line.split(" "))
-                .filter(words -> words[0].equals(LABELS.get(kind)))
-                .map(words -> PeerMessageCodec.decode(HexFormat.of().parseHex(words[1]))
+                .filter(fields -> fields[0].equals(LABELS.get(kind)))
+                .map(fields -> PeerMessageCodec.decode(HexFormat.of().parseHex(fields[1]))
                         .orElseThrow())
                 .toList();
     }
 
     @Test
-    void writesTheFixture() throws IOException {
+    void writesDatagramsOfFixture() throws IOException {
         FIXTURE.assertSame(datagrams());
     }
 
     @Test
-    void readsTheHeadOfEachKind() throws IOException {
+    void readsHeaderOfEachKindFromFixture() throws IOException {
         for (PeerMessage.Kind kind : PeerMessage.Kind.values()) {
             for (PeerMessage message : read(kind)) {
                 assertEquals(kind, message.kind());
                 assertEquals(INCARNATION, message.incarnation());
-                assertEquals(RAN, message.uptime());
+                assertEquals(UPTIME, message.uptime());
             }
         }
         assertEquals(1, read(PeerMessage.Kind.HELLO).size());
@@ -95,7 +98,7 @@
     }
 
     @Test
-    void readsLoadReportAndStateResponse() throws IOException {
+    void readsLoadReportAndStateResponseFromFixture() throws IOException {
         assertArrayEquals(
                 LOAD_REPORT,
                 PeerMessageCodec.loadReport(read(PeerMessage.Kind.LOAD_REPORT).get(0)));
@@ -114,7 +117,7 @@
     }
 
     @Test
-    void readsOrders() throws IOException {
+    void readsOrdersFromFixture() throws IOException {
         for (PeerMessage.Kind kind : List.of(PeerMessage.Kind.REPLICATE_ORDERS, PeerMessage.Kind.REPLICATED_ORDERS)) {
             Map<String, PersistentState.MaintenanceOrder> all = new TreeMap<>();
             read(kind)
--- a/balancer/src/test/java/gorsestack/recovery/PeerLearnedStateTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/PeerLearnedStateTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Guards against concurrency limits that are too high after a restart, because they came from another zone or from a single peer. */
 class PeerLearnedStateTest {
     private final PeerLearnedState own = new PeerLearnedState(List.of("a", "b"));
 
@@ -15,9 +16,9 @@
     }
 
     @Test
-    void mergesTheLowestLimitAndMeanLatencies() {
-        own.add(own.labelled(learned(5)));
-        own.add(own.labelled(List.of(LearnedLocality.ofRow(4, 0.4, 0.3, 9))));
+    void mergesLowestLimitAndMeanLatencyRatios() {
+        own.add(own.withZoneHashes(learned(5)));
+        own.add(own.withZoneHashes(List.of(LearnedLocality.ofRow(4, 0.4, 0.3, 9))));
         List<LearnedLocality> merged = own.merged();
         assertEquals(2, merged.size());
         assertEquals(4, merged.get(0).concurrencyLimit());
@@ -28,19 +29,19 @@
     }
 
     @Test
-    void ignoresBalancersOfOtherZones() {
+    void ignoresStateOfPeersInOtherZones() {
         PeerLearnedState other = new PeerLearnedState(List.of("b", "a"));
-        own.add(other.labelled(learned(5)));
+        own.add(other.withZoneHashes(learned(5)));
         own.add(List.of());
         assertTrue(own.isEmpty());
-        own.add(own.labelled(learned(5)));
+        own.add(own.withZoneHashes(learned(5)));
         assertTrue(!own.isEmpty());
         own.clear();
         assertTrue(own.isEmpty());
     }
 
     @Test
-    void labelsNoMoreLocalitiesThanThereAreZones() {
-        assertEquals(1, new PeerLearnedState(List.of("a")).labelled(learned(5)).size());
+    void sendsNoMoreLocalitiesThanThereAreZones() {
+        assertEquals(1, new PeerLearnedState(List.of("a")).withZoneHashes(learned(5)).size());
     }
 }
--- a/balancer/src/test/java/gorsestack/recovery/PeerRecoveryTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/PeerRecoveryTest.java
@@ -18,26 +18,29 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Many at once on a clock and a network of the test's own: loss, repeats, late messages, kills, clocks set back. */
+/**
+ * Guards against state that is lost or wrong after a restart. Runs a fleet on a simulated clock and network, which loses, duplicates and
+ * delays messages; processes are killed, and clocks are set back.
+ */
 class PeerRecoveryTest {
     private static final long MS = 1_000_000;
     private static final long SECOND = 1_000 * MS;
     private static final long RECENTLY_STARTED = 10 * SECOND;
-    private static final long BEGIN = 1_764_000_000L * SECOND;
+    private static final long START = 1_764_000_000L * SECOND;
     private static final byte[] LOAD_REPORT = {1, 7, 7, 7, 7, 7, 7};
 
-    private record Event(long at, long order, Runnable what) {}
+    private record Event(long time, long sequence, Runnable task) {}
 
     private static final class Fleet {
         final PriorityQueue<Event> events =
-                new PriorityQueue<>((x, y) -> x.at != y.at ? Long.compare(x.at, y.at) : Long.compare(x.order, y.order));
+                new PriorityQueue<>((x, y) -> x.time != y.time ? Long.compare(x.time, y.time) : Long.compare(x.sequence, y.sequence));
         final SplittableRandom random;
         final Node[] nodes;
         double loss;
-        double repeats;
-        long most = 33 * MS;
-        long now = BEGIN;
-        long order;
+        double duplication;
+        long maxDelay = 33 * MS;
+        long now = START;
+        long sequence;
         long sent;
         int[] received;
 
@@ -47,35 +50,35 @@
             received = new int[count];
         }
 
-        void in(long wait, Runnable what) {
-            events.add(new Event(now + wait, order++, what));
+        void schedule(long delay, Runnable task) {
+            events.add(new Event(now + delay, sequence++, task));
         }
 
         void run(long until) {
-            while (!events.isEmpty() && events.peek().at <= until) {
+            while (!events.isEmpty() && events.peek().time <= until) {
                 Event next = events.poll();
-                now = next.at;
-                next.what.run();
+                now = next.time;
+                next.task.run();
             }
             now = until;
         }
 
-        /** A process of a balancer; the one before is gone. */
-        Node start(int me, long incarnation, boolean needsLearnedState, long index) {
-            nodes[me] = new Node(this, me, incarnation, needsLearnedState, index);
-            return nodes[me];
+        /** Starts a process of a balancer in place of the previous one, which ends. */
+        Node start(int self, long incarnation, boolean needsLearnedState, long index) {
+            nodes[self] = new Node(this, self, incarnation, needsLearnedState, index);
+            return nodes[self];
         }
 
-        void deliver(int from, int to, byte[] message) {
+        void deliver(int sender, int recipient, byte[] message) {
             sent++;
-            int times = random.nextDouble() < loss ? 0 : random.nextDouble() < repeats ? 2 : 1;
+            int times = random.nextDouble() < loss ? 0 : random.nextDouble() < duplication ? 2 : 1;
             for (int i = 0; i < times; i++) {
-                in(1 + random.nextLong(most), () -> {
-                    received[to]++;
-                    if (nodes[to] != null) {
-                        byte[] loadReport = nodes[to].recovery.receive(now, from, message);
+                schedule(1 + random.nextLong(maxDelay), () -> {
+                    received[recipient]++;
+                    if (nodes[recipient] != null) {
+                        byte[] loadReport = nodes[recipient].recovery.receive(now, sender, message);
                         if (loadReport != null) {
-                            nodes[to].loadReports.merge(from, 1, Integer::sum);
+                            nodes[recipient].loadReports.merge(sender, 1, Integer::sum);
                         }
                     }
                 });
@@ -85,7 +88,7 @@
 
     private static final class Node implements PeerRecovery.Actions, PeerRecovery.LocalState {
         final Fleet fleet;
-        final int me;
+        final int self;
         final PeerRecovery recovery;
         final Map<Integer, Integer> loadReports = new HashMap<>();
         final Map<String, PersistentState.MaintenanceOrder> orders = new TreeMap<>();
@@ -95,38 +98,38 @@
         long peerIndex;
         boolean peersSilent;
 
-        Node(Fleet fleet, int me, long incarnation, boolean needsLearnedState, long index) {
+        Node(Fleet fleet, int self, long incarnation, boolean needsLearnedState, long index) {
             this.fleet = fleet;
-            this.me = me;
+            this.self = self;
             this.index = index;
             List<String> zones = List.of("a", "b", "c");
-            int own = me % 3;
-            List<String> order = IntStream.range(0, 3)
+            int own = self % 3;
+            List<String> ownZoneFirst = IntStream.range(0, 3)
                     .mapToObj(i -> zones.get((own + i) % 3))
                     .toList();
             recovery = new PeerRecovery(
-                    me,
+                    self,
                     fleet.nodes.length,
                     incarnation,
                     fleet.now,
                     RECENTLY_STARTED,
-                    order,
+                    ownZoneFirst,
                     needsLearnedState,
-                    me * 31 + 7,
+                    self * 31 + 7,
                     this,
                     this);
         }
 
         @Override
         public void send(int peer, byte[] message) {
-            assertTrue(message.length <= 256 && peer != me);
-            fleet.deliver(me, peer, message);
+            assertTrue(message.length <= 256 && peer != self);
+            fleet.deliver(self, peer, message);
         }
 
         @Override
-        public void scheduleCheck(long at) {
-            fleet.in(at - fleet.now, () -> {
-                if (fleet.nodes[me] == this) {
+        public void scheduleCheck(long checkTime) {
+            fleet.schedule(checkTime - fleet.now, () -> {
+                if (fleet.nodes[self] == this) {
                     recovery.check(fleet.now);
                 }
             });
@@ -167,138 +170,139 @@
         @Override
         public List<LearnedLocality> learned() {
             return List.of(
-                    LearnedLocality.ofRow(10 + me, 0.2, 0.1, 50),
+                    LearnedLocality.ofRow(10 + self, 0.2, 0.1, 50),
                     LearnedLocality.ofRow(5, 0.3, 0.1, 1),
                     LearnedLocality.ofRow(6, 0.3, 0.1, 1),
                     LearnedLocality.ofRow(0, 0, 0, 0));
         }
 
         void sendLoadReport(int peer) {
-            fleet.deliver(me, peer, recovery.encodeLoadReport(fleet.now, peer, LOAD_REPORT));
+            fleet.deliver(self, peer, recovery.encodeLoadReport(fleet.now, peer, LOAD_REPORT));
         }
     }
 
-    private static Fleet grown(int count, long seed) {
+    /** Returns a fleet whose processes have run for a minute. */
+    private static Fleet runningFleet(int count, long seed) {
         Fleet fleet = new Fleet(count, seed);
         for (int i = 0; i < count; i++) {
             fleet.start(i, fleet.now / MS, false, 40);
         }
-        fleet.run(BEGIN + 60 * SECOND);
+        fleet.run(START + 60 * SECOND);
         return fleet;
     }
 
     @Test
-    void oneThatRestartsAloneLearnsSoWithinASecond() {
+    void seesNoFleetRestartWhenOnlyOneBalancerRestarts() {
         for (int seed = 1; seed <= 50; seed++) {
-            Fleet fleet = grown(24, seed);
+            Fleet fleet = runningFleet(24, seed);
             fleet.loss = 0.2;
-            Node back = fleet.start(5, fleet.now / MS, true, 30);
+            Node restarted = fleet.start(5, fleet.now / MS, true, 30);
             fleet.run(fleet.now + 2 * SECOND);
-            assertFalse(back.peersSilent, "seed " + seed);
-            assertTrue(back.recovery.silentFraction(fleet.now) <= 0.5, "seed " + seed);
-            assertTrue(!(back.recovery.recentlyStartedFraction(fleet.now) > 0), "seed " + seed);
-            assertEquals(40, back.peerIndex);
+            assertFalse(restarted.peersSilent, "seed " + seed);
+            assertTrue(restarted.recovery.silentFraction(fleet.now) <= 0.5, "seed " + seed);
+            assertTrue(!(restarted.recovery.recentlyStartedFraction(fleet.now) > 0), "seed " + seed);
+            assertEquals(40, restarted.peerIndex);
         }
     }
 
     @Test
-    void oneThatLostItsStateBeginsWithWhatItsZoneHasLearnt() {
-        Fleet fleet = grown(24, 3);
-        // Replicas of 0 are 6, 12 and 18, all of its zone.
-        Node back = fleet.start(0, fleet.now / MS, true, 0);
+    void restoresLearnedStateOfItsZoneWhenItHasLostItsOwn() {
+        Fleet fleet = runningFleet(24, 3);
+        // The replicas of balancer 0 are 6, 12 and 18, all in its zone.
+        Node restarted = fleet.start(0, fleet.now / MS, true, 0);
         fleet.run(fleet.now + 2 * SECOND);
-        assertEquals(3, back.restored.size());
+        assertEquals(3, restarted.restored.size());
         assertArrayEquals(
                 new double[] {16, 0.2, 0.1, 0},
-                back.restored.get(0).toRow(),
+                restarted.restored.get(0).toRow(),
                 1e-6,
-                "the least room, and no answers of others'");
+                "the lowest concurrency limit of the peers, and no response rate");
         Node other = fleet.start(1, fleet.now / MS, false, 40);
         fleet.run(fleet.now + 2 * SECOND);
-        assertNull(other.restored, "it has its own");
+        assertNull(other.restored, "it has learned state of its own");
         assertEquals(0, other.peerIndex);
     }
 
     @Test
-    void thoseThatRestartTogetherSeeThat() {
-        for (double share : new double[] {0.7, 1}) {
-            Fleet fleet = grown(24, 4);
-            List<Node> back = new ArrayList<>();
-            for (int i = 0; i < 24 * share; i++) {
-                int one = i;
-                fleet.in(fleet.random.nextLong(500 * MS), () -> back.add(fleet.start(one, fleet.now / MS, true, 40)));
+    void seesRecentlyStartedPeersWhenMostOfTheFleetRestarts() {
+        for (double restartedFraction : new double[] {0.7, 1}) {
+            Fleet fleet = runningFleet(24, 4);
+            List<Node> restarted = new ArrayList<>();
+            for (int i = 0; i < 24 * restartedFraction; i++) {
+                int restartedIndex = i;
+                fleet.schedule(fleet.random.nextLong(500 * MS), () -> restarted.add(fleet.start(restartedIndex, fleet.now / MS, true, 40)));
                 fleet.nodes[i] = null;
             }
             fleet.run(fleet.now + 3 * SECOND);
-            for (Node node : back) {
-                double returned = node.recovery.recentlyStartedFraction(fleet.now);
-                assertTrue(returned >= 0.3, node.me + ": " + returned);
+            for (Node node : restarted) {
+                double recentlyStarted = node.recovery.recentlyStartedFraction(fleet.now);
+                assertTrue(recentlyStarted >= 0.3, node.self + ": " + recentlyStarted);
                 assertFalse(node.peersSilent);
-                // Who has just come back himself has nothing to teach.
-                assertTrue(share < 1 || node.restored == null);
+                // A process that has just started itself sends no learned state.
+                assertTrue(restartedFraction < 1 || node.restored == null);
             }
             fleet.run(fleet.now + 30 * SECOND);
             assertTrue(
-                    back.stream().noneMatch(n -> n.recovery.recentlyStartedFraction(fleet.now) > 0),
-                    "it is over after that");
+                    restarted.stream().noneMatch(n -> n.recovery.recentlyStartedFraction(fleet.now) > 0),
+                    "no peer counts as recently started any more");
         }
     }
 
     @Test
-    void withMostPeersGoneItIsAlone() {
-        Fleet fleet = grown(24, 5);
+    void reportsSilentPeersWhenMostOfTheFleetIsDown() {
+        Fleet fleet = runningFleet(24, 5);
         for (int i = 1; i < 22; i++) {
             fleet.nodes[i] = null;
         }
-        Node back = fleet.start(0, fleet.now / MS, true, 40);
+        Node restarted = fleet.start(0, fleet.now / MS, true, 40);
         fleet.run(fleet.now + 3 * SECOND);
-        assertTrue(back.peersSilent);
-        assertNull(back.restored);
+        assertTrue(restarted.peersSilent);
+        assertNull(restarted.restored);
     }
 
-    /** The disk is lost and the clock was set back by an hour: peers remember. */
+    /** The disk is lost and the clock was set back by an hour, so that only peers know the previous incarnation. */
     @Test
-    void aProcessNeverGoesOnUnderAnEarlierNumber() {
+    void raisesIncarnationAbovePreviousOneWhenDiskIsLostAndClockSetBack() {
         for (int seed = 1; seed <= 50; seed++) {
-            Fleet fleet = grown(24, seed);
+            Fleet fleet = runningFleet(24, seed);
             fleet.loss = 0.3;
             long before = fleet.nodes[5].recovery.incarnation();
-            Node back = fleet.start(5, before - 3_600_000, true, 40);
+            Node restarted = fleet.start(5, before - 3_600_000, true, 40);
             fleet.run(fleet.now + 2 * SECOND);
-            assertTrue(back.recovery.incarnation() > before, "seed " + seed);
-            assertEquals(1, back.incarnations.size());
+            assertTrue(restarted.recovery.incarnation() > before, "seed " + seed);
+            assertEquals(1, restarted.incarnations.size());
         }
     }
 
-    /** Messages of the process before that were long on their way, repeated, or come after it has gone. */
+    /** Messages of the previous process are delayed in the network, duplicated, and arrive after it was replaced. */
     @Test
-    void whatAnEarlierProcessSaysChangesNothing() {
-        Fleet fleet = grown(4, 6);
-        // All know one another by now, through their asking.
+    void ignoresDelayedMessagesOfReplacedProcess() {
+        Fleet fleet = runningFleet(4, 6);
+        // State requests have shown all balancers that their peers support headers.
         assertEquals(2, fleet.nodes[0].recovery.encodeLoadReport(fleet.now, 1, LOAD_REPORT)[0]);
-        fleet.most = 20 * SECOND;
+        fleet.maxDelay = 20 * SECOND;
         for (int i = 0; i < 50; i++) {
             fleet.nodes[0].sendLoadReport(1);
         }
         fleet.nodes[0].recovery.replicate(
                 fleet.now, Map.of("s1", new PersistentState.MaintenanceOrder(PersistentState.NOT_ENDED, fleet.now)));
-        fleet.most = 33 * MS;
-        fleet.in(SECOND, () -> fleet.start(0, fleet.now / MS, true, 40));
+        fleet.maxDelay = 33 * MS;
+        fleet.schedule(SECOND, () -> fleet.start(0, fleet.now / MS, true, 40));
         fleet.run(fleet.now + 2 * SECOND);
-        int then = fleet.nodes[1].loadReports.get(0);
-        assertTrue(then < 50);
+        int receivedBefore = fleet.nodes[1].loadReports.get(0);
+        assertTrue(receivedBefore < 50);
         fleet.run(fleet.now + 20 * SECOND);
-        assertEquals(then, fleet.nodes[1].loadReports.get(0));
+        assertEquals(receivedBefore, fleet.nodes[1].loadReports.get(0));
         assertTrue(fleet.nodes[1].recovery.dropped().stale() > 0);
         fleet.nodes[0].sendLoadReport(1);
         fleet.run(fleet.now + SECOND);
-        assertEquals(then + 1, fleet.nodes[1].loadReports.get(0));
+        assertEquals(receivedBefore + 1, fleet.nodes[1].loadReports.get(0));
     }
 
     @Test
-    void bansOfOneThatLostItsDiskComeBackFromThree() {
+    void restoresMaintenanceOrdersFromOneReplicaWhenDiskIsLost() {
         for (int seed = 1; seed <= 50; seed++) {
-            Fleet fleet = grown(24, seed);
+            Fleet fleet = runningFleet(24, seed);
             fleet.loss = 0.2;
             Map<String, PersistentState.MaintenanceOrder> all = new TreeMap<>();
             for (int i = 0; i < 40; i++) {
@@ -309,28 +313,31 @@
             }
             fleet.nodes[5].recovery.replicate(fleet.now, all);
             fleet.run(fleet.now + 60 * SECOND);
-            long lastSaid = fleet.now;
+            long replicatedUntil = fleet.now;
             fleet.loss = 0;
-            // Two of the three restart too; one copy is enough.
+            // Two of the three replicas restart too; the copy of one replica is enough.
             List<Integer> replicas = OrderReplication.replicasOf(5, 24);
             fleet.start(replicas.get(0), fleet.now / MS, false, 40);
             fleet.start(replicas.get(2), fleet.now / MS, false, 40);
-            Node back = fleet.start(5, fleet.now / MS, true, 0);
+            Node restarted = fleet.start(5, fleet.now / MS, true, 0);
             fleet.run(fleet.now + 2 * SECOND);
-            assertEquals(all.keySet(), back.orders.keySet(), "seed " + seed);
-            all.forEach((name, ban) -> {
+            assertEquals(all.keySet(), restarted.orders.keySet(), "seed " + seed);
+            all.forEach((name, order) -> {
                 assertEquals(
-                        ban.endedAt() == PersistentState.NOT_ENDED,
-                        back.orders.get(name).endedAt() == PersistentState.NOT_ENDED);
-                assertTrue(Math.abs(ban.orderedAt() - back.orders.get(name).orderedAt()) < 200 * MS
-                        && back.orders.get(name).orderedAt() < lastSaid);
+                        order.endedAt() == PersistentState.NOT_ENDED,
+                        restarted.orders.get(name).endedAt() == PersistentState.NOT_ENDED);
+                assertTrue(Math.abs(order.orderedAt() - restarted.orders.get(name).orderedAt()) < 200 * MS
+                        && restarted.orders.get(name).orderedAt() < replicatedUntil);
             });
         }
     }
 
-    /** Any restart makes at most so many messages, and no peer answers more than ten in a second. */
+    /**
+     * Without responses a restart causes at most 15 messages per balancer in 30 s. With responses it causes at most 10 more in the first
+     * second, and at most 15 more in the first minute.
+     */
     @Test
-    void askingIsBounded() {
+    void boundsMessagesWhenAllBalancersRestart() {
         for (int count : new int[] {2, 3, 24, 1000}) {
             Fleet fleet = new Fleet(count, 8);
             for (int i = 0; i < count; i++) {
@@ -339,47 +346,50 @@
             fleet.loss = 1;
             fleet.run(fleet.now + 30 * SECOND);
             assertTrue(fleet.sent <= 15L * count, count + ": " + fleet.sent);
-            Fleet one = grown(count, 9);
-            one.received = new int[count];
-            long sent = one.sent;
+            Fleet restartedFleet = runningFleet(count, 9);
+            restartedFleet.received = new int[count];
+            long sent = restartedFleet.sent;
             for (int i = 1; i < count; i++) {
-                one.start(i, one.now / MS, true, 40);
+                restartedFleet.start(i, restartedFleet.now / MS, true, 40);
             }
-            one.run(one.now + SECOND);
-            assertTrue(one.sent - sent <= (15 + 10) * (long) count);
-            one.run(one.now + 60 * SECOND);
-            assertTrue(one.sent - sent <= (15 + 15) * (long) count);
+            restartedFleet.run(restartedFleet.now + SECOND);
+            assertTrue(restartedFleet.sent - sent <= (15 + 10) * (long) count);
+            restartedFleet.run(restartedFleet.now + 60 * SECOND);
+            assertTrue(restartedFleet.sent - sent <= (15 + 15) * (long) count);
         }
     }
 
-    /** Half the fleet knows no numbers: messages pass both ways, and each that does is counted with its number before long. */
+    /**
+     * One of two balancers runs the previous version, whose messages have no header. Load reports pass in both directions, and have a
+     * header once both balancers run this version.
+     */
     @Test
-    void theVersionBeforeIsUnderstood() {
+    void exchangesHeaderlessLoadReportsWithPreviousVersion() {
         Fleet fleet = new Fleet(2, 10);
-        Node fresh = fleet.start(0, fleet.now / MS, false, 40);
-        // Balancer 1 is of the version before: it sends plain messages, and takes only such.
+        Node current = fleet.start(0, fleet.now / MS, false, 40);
+        // Balancer 1 runs the previous version: it sends messages without a header, and accepts no others.
         for (int i = 0; i < 100; i++) {
-            assertArrayEquals(LOAD_REPORT, fresh.recovery.receive(fleet.now, 1, LOAD_REPORT));
-            byte[] out = fresh.recovery.encodeLoadReport(fleet.now, 1, LOAD_REPORT);
+            assertArrayEquals(LOAD_REPORT, current.recovery.receive(fleet.now, 1, LOAD_REPORT));
+            byte[] out = current.recovery.encodeLoadReport(fleet.now, 1, LOAD_REPORT);
             assertArrayEquals(LOAD_REPORT, out);
             fleet.run(fleet.now + SECOND);
         }
-        assertTrue(fleet.sent <= 3 + 3, "a greeting a minute: " + fleet.sent);
-        // It is replaced by this version: numbered from the greeting on; and back again.
+        assertTrue(fleet.sent <= 3 + 3, "at most one HELLO per minute: " + fleet.sent);
+        // It is upgraded to this version, which sends headers from its first HELLO on, and then downgraded again.
         fleet.start(1, fleet.now / MS, false, 40);
         fleet.run(fleet.now + 2 * SECOND);
-        assertEquals(2, fresh.recovery.encodeLoadReport(fleet.now, 1, LOAD_REPORT)[0]);
+        assertEquals(2, current.recovery.encodeLoadReport(fleet.now, 1, LOAD_REPORT)[0]);
         fleet.nodes[1] = null;
-        assertNull(fresh.recovery.receive(fleet.now, 1, LOAD_REPORT), "may be of before");
+        assertNull(current.recovery.receive(fleet.now, 1, LOAD_REPORT), "the message may come from the previous process");
         fleet.run(fleet.now + 11 * SECOND);
-        assertArrayEquals(LOAD_REPORT, fresh.recovery.receive(fleet.now, 1, LOAD_REPORT));
-        assertArrayEquals(LOAD_REPORT, fresh.recovery.encodeLoadReport(fleet.now, 1, LOAD_REPORT));
+        assertArrayEquals(LOAD_REPORT, current.recovery.receive(fleet.now, 1, LOAD_REPORT));
+        assertArrayEquals(LOAD_REPORT, current.recovery.encodeLoadReport(fleet.now, 1, LOAD_REPORT));
     }
 
-    /** Bytes of any kind, and each valid message cut at any place or changed in any byte. */
+    /** Random bytes, and each valid message truncated at each byte or with one bit changed. */
     @Test
-    void nonsenseIsDroppedAndCounted() {
-        Fleet fleet = grown(6, 11);
+    void dropsAndCountsMalformedDatagrams() {
+        Fleet fleet = runningFleet(6, 11);
         Node node = fleet.nodes[0];
         SplittableRandom random = new SplittableRandom(12);
         List<byte[]> datagrams = new ArrayList<>(List.of(
@@ -397,10 +407,10 @@
                 9,
                 Map.of(
                         "s1",
-                        new PersistentState.MaintenanceOrder(PersistentState.NOT_ENDED, BEGIN),
+                        new PersistentState.MaintenanceOrder(PersistentState.NOT_ENDED, START),
                         "s2",
-                        new PersistentState.MaintenanceOrder(BEGIN, BEGIN)),
-                BEGIN));
+                        new PersistentState.MaintenanceOrder(START, START)),
+                START));
         for (byte[] datagram : datagrams) {
             for (int i = 0; i < datagram.length; i++) {
                 node.recovery.receive(fleet.now, 1, Arrays.copyOf(datagram, i));
@@ -421,7 +431,7 @@
             node.recovery.receive(fleet.now, 1 + random.nextInt(5), any);
         }
         assertTrue(node.recovery.dropped().malformed() > 10_000);
-        assertTrue(node.recovery.replicatedFor().values().stream().allMatch(bans -> bans.size() <= 256));
+        assertTrue(node.recovery.replicatedFor().values().stream().allMatch(orders -> orders.size() <= 256));
         assertTrue(node.recovery.incarnation() < 1L << 47);
         assertTrue(PeerMessageCodec.decode(new byte[0]).isEmpty());
         assertTrue(PeerMessageCodec.decode(new byte[257]).isEmpty());
--- a/balancer/src/test/java/gorsestack/recovery/PeerTableTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/PeerTableTest.java
@@ -7,6 +7,7 @@
 import java.nio.ByteBuffer;
 import org.junit.jupiter.api.Test;
 
+/** Guards against messages of replaced processes that are accepted, and against peers of the previous version that are not. */
 class PeerTableTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long NOW = 1_000 * SECOND;
@@ -17,7 +18,7 @@
     }
 
     @Test
-    void aMessageOfAnEarlierProcessIsStale() {
+    void messageWithLowerIncarnationIsStale() {
         peers.record(NOW, 1, message(7, SECOND));
         assertEquals(7, peers.highestIncarnation(1));
         assertTrue(peers.isStale(1, message(6, SECOND)));
@@ -26,38 +27,38 @@
     }
 
     @Test
-    void aStaleProcessIsAnsweredOnceASecondUnlessItAsks() {
-        assertTrue(peers.takeStaleResponse(NOW, 1, false));
-        assertFalse(peers.takeStaleResponse(NOW + SECOND, 1, false));
-        assertTrue(peers.takeStaleResponse(NOW + SECOND, 1, true));
-        assertTrue(peers.takeStaleResponse(NOW + 3 * SECOND, 1, false));
+    void respondsToStaleProcessOncePerSecondUnlessItRequestsState() {
+        assertTrue(peers.takeStaleResponsePermit(NOW, 1, false));
+        assertFalse(peers.takeStaleResponsePermit(NOW + SECOND, 1, false));
+        assertTrue(peers.takeStaleResponsePermit(NOW + SECOND, 1, true));
+        assertTrue(peers.takeStaleResponsePermit(NOW + 3 * SECOND, 1, false));
     }
 
     @Test
-    void plainMessagesAreStaleWhileThePeerNumbersItsMessages() {
-        assertTrue(peers.acceptsPlain(NOW, 1));
+    void rejectsHeaderlessMessagesWhilePeerSendsHeaders() {
+        assertTrue(peers.acceptsHeaderless(NOW, 1));
         peers.record(NOW, 1, message(7, SECOND));
-        assertTrue(peers.understandsNumbered(NOW, 1));
-        assertFalse(peers.acceptsPlain(NOW + 9 * SECOND, 1));
-        assertTrue(peers.understandsNumbered(NOW + 9 * SECOND, 1));
-        assertTrue(peers.acceptsPlain(NOW + 10 * SECOND, 1));
-        assertFalse(peers.understandsNumbered(NOW + 10 * SECOND, 1), "it runs an earlier version again");
+        assertTrue(peers.supportsHeader(NOW, 1));
+        assertFalse(peers.acceptsHeaderless(NOW + 9 * SECOND, 1));
+        assertTrue(peers.supportsHeader(NOW + 9 * SECOND, 1));
+        assertTrue(peers.acceptsHeaderless(NOW + 10 * SECOND, 1));
+        assertFalse(peers.supportsHeader(NOW + 10 * SECOND, 1), "the peer runs an earlier version again");
     }
 
     @Test
-    void greetsOnceAMinute() {
-        assertTrue(peers.takeGreeting(NOW, 1));
-        assertFalse(peers.takeGreeting(NOW + 60 * SECOND, 1));
-        assertTrue(peers.takeGreeting(NOW + 61 * SECOND, 1));
+    void sendsHelloOncePerMinute() {
+        assertTrue(peers.takeHelloPermit(NOW, 1));
+        assertFalse(peers.takeHelloPermit(NOW + 60 * SECOND, 1));
+        assertTrue(peers.takeHelloPermit(NOW + 61 * SECOND, 1));
     }
 
     @Test
-    void theShareOfRecentlyStartedPeersNeedsThreePeers() {
+    void recentlyStartedFractionIsUnknownWithFewerThanThreePeers() {
         peers.record(NOW, 0, message(7, SECOND));
         peers.record(NOW, 1, message(7, SECOND));
         assertTrue(Double.isNaN(peers.recentlyStartedFraction(NOW)));
         peers.record(NOW, 2, message(7, 100 * SECOND));
         assertEquals(2 / 3.0, peers.recentlyStartedFraction(NOW), 1e-9);
-        assertTrue(Double.isNaN(peers.recentlyStartedFraction(NOW + 10 * SECOND)), "none was seen lately");
+        assertTrue(Double.isNaN(peers.recentlyStartedFraction(NOW + 10 * SECOND)), "no peer was seen recently");
     }
 }
--- a/balancer/src/test/java/gorsestack/recovery/RestartStormDetectorTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/RestartStormDetectorTest.java
@@ -4,11 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against throttling after the restart of a single balancer, and against throttling that does not end. */
 class RestartStormDetectorTest {
     private static final long SECOND = 1_000_000_000L;
 
     @Test
-    void aSingleRestartIsNoStorm() {
+    void detectsNoStormWhenOnlyOneBalancerRestarts() {
         RestartStormDetector detector = new RestartStormDetector(0, 10 * SECOND);
         detector.onDiscoveryRejection();
         detector.setRecentlyStartedFraction(Double.NaN);
@@ -21,7 +22,7 @@
     }
 
     @Test
-    void eachKindOfEvidenceCountsUntilTheDurationIsOver() {
+    void levelDeclinesToZeroOverDurationForEachKindOfEvidence() {
         RestartStormDetector rejected = new RestartStormDetector(0, 10 * SECOND);
         rejected.onDiscoveryRejection();
         rejected.onDiscoveryRejection();
@@ -37,7 +38,7 @@
             assertEquals(0, detector.level(10 * SECOND));
             assertEquals(0, detector.level(99 * SECOND));
         }
-        // A storm of retries that has ended is no evidence.
+        // Retries that have ended are no evidence.
         for (int i = 80; i < 200; i++) {
             retries.onRequest(i * SECOND / 40, false);
         }
