--- a/balancer/src/main/java/gorsestack/recovery/ClockOrigin.java
+++ b/balancer/src/main/java/gorsestack/recovery/ClockOrigin.java
@@ -5,20 +5,27 @@
 import java.nio.file.Path;
 
 /**
- * The origin of a process's clock, which lets another process convert its times. A process reads the wall clock once, at its start, and
- * counts on from there. If the wall clock was set between two starts, the clocks of the two processes differ; the operating system's
- * monotonic clock, which all processes share until the next boot, tells by how much.
+ * Origin of a process's clock, by which another process converts the times that the first one has stored. Immutable; used by the handover
+ * and by {@link SnapshotStore} on any thread.
  *
- * @param boot identifies the boot of the operating system; empty where it is not available
- * @param offset the process's time at the monotonic clock's zero, in nanoseconds from 1970
+ * <p>A process reads the wall clock once, at its start, and derives all later times from the monotonic clock. If the wall clock was set
+ * between the starts of two processes, their clocks differ. The difference follows from the operating system's monotonic clock, which all
+ * processes share until the next boot.
+ *
+ * @param boot identifier of the operating system's boot; empty where it is not available
+ * @param offset the process's time at the zero of the monotonic clock, in nanoseconds since 1970
  */
 public record ClockOrigin(String boot, long offset) {
     private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
 
-    /** An unknown clock, whose times are not converted. */
+    /** Origin of an unknown clock, whose times are not converted. */
     public static final ClockOrigin UNKNOWN = new ClockOrigin("", 0);
 
-    /** The origin of this process's clock, which reads now. */
+    /**
+     * Returns the origin of this process's clock, or {@link #UNKNOWN} if the identifier of the boot cannot be read.
+     *
+     * @param now the current time of this process's clock, in nanoseconds since 1970
+     */
     public static ClockOrigin here(long now) {
         long offset = now - System.nanoTime();
         try {
@@ -28,7 +35,7 @@
         }
     }
 
-    /** The difference to add to a time of the other clock; 0 where it is not known. */
+    /** Returns the nanoseconds to add to a time of the other clock; 0 if the two clocks cannot be compared. */
     long shiftFrom(ClockOrigin other) {
         boolean comparable = !boot.isEmpty() && boot.equals(other.boot);
         return comparable ? offset - other.offset : 0;
--- a/balancer/src/main/java/gorsestack/recovery/FileStorage.java
+++ b/balancer/src/main/java/gorsestack/recovery/FileStorage.java
@@ -9,11 +9,11 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A folder of the file system. */
+/** Storage in a folder of the file system, with blocking I/O. Used by the stores of state on any thread but the event loop's. */
 public final class FileStorage implements Storage {
     private final Path folder;
 
-    /** Creates a storage over an existing folder. */
+    /** Creates a storage for the files of an existing folder. */
     public FileStorage(Path folder) {
         this.folder = folder;
     }
@@ -54,8 +54,8 @@
     }
 
     @Override
-    public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+    public void rename(String oldName, String newName) throws IOException {
+        Files.move(folder.resolve(oldName), folder.resolve(newName), StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
--- a/balancer/src/main/java/gorsestack/recovery/LegacyStateReader.java
+++ b/balancer/src/main/java/gorsestack/recovery/LegacyStateReader.java
@@ -5,9 +5,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reads the state file of version 0.5, which held maintenance orders alone: they must stay in force over an upgrade. */
+/**
+ * Reads the state file of version 0.5, which held only maintenance orders, so that they stay in force after an upgrade. Used by
+ * {@link StateCodec}; stateless.
+ */
 final class LegacyStateReader {
-    /** The first line of such a file. */
+    /** First line of a state file of version 0.5. */
     static final String FORMAT = "gorsestack by hand 1";
 
     private LegacyStateReader() {}
@@ -19,7 +22,7 @@
             try {
                 readOrder(lines[i], orders);
             } catch (IllegalArgumentException e) {
-                continue; // a damaged line is skipped
+                continue; // A damaged line is skipped.
             }
             complete = lines[i].equals("end");
         }
@@ -31,16 +34,16 @@
     }
 
     private static void readOrder(String line, Map<String, PersistentState.MaintenanceOrder> orders) {
-        String[] words = line.split(" ");
-        if (words[0].equals("out") && words.length == 2) {
-            orders.put(decoded(words[1]), new PersistentState.MaintenanceOrder(PersistentState.NOT_ENDED, 0));
-        } else if (words[0].equals("back") && words.length == 3) {
-            long back = Long.parseLong(words[1]);
-            orders.put(decoded(words[2]), new PersistentState.MaintenanceOrder(back, back));
+        String[] fields = line.split(" ");
+        if (fields[0].equals("out") && fields.length == 2) {
+            orders.put(decodeName(fields[1]), new PersistentState.MaintenanceOrder(PersistentState.NOT_ENDED, 0));
+        } else if (fields[0].equals("back") && fields.length == 3) {
+            long endedAt = Long.parseLong(fields[1]);
+            orders.put(decodeName(fields[2]), new PersistentState.MaintenanceOrder(endedAt, endedAt));
         }
     }
 
-    private static String decoded(String upstream) {
+    private static String decodeName(String upstream) {
         return URLDecoder.decode(upstream, StandardCharsets.UTF_8);
     }
 }
--- a/balancer/src/main/java/gorsestack/recovery/PersistentState.java
+++ b/balancer/src/main/java/gorsestack/recovery/PersistentState.java
@@ -9,17 +9,20 @@
 import java.util.TreeMap;
 
 /**
- * The state that a balancer stores for its next process. Times are in nanoseconds from 1970, on the clock of the process that wrote them.
- * Where a component has another key in the JSON report, its annotation names it.
+ * State that a balancer stores for its next process. Written and read by {@link SnapshotStore} through {@link StateCodec}, and printed by
+ * the command line's state report. Immutable.
  *
- * @param name of the balancer
- * @param incarnation of the process that wrote it; increases with each start
- * @param writtenAt when it was written; 0 if nothing was
+ * <p>Times are in nanoseconds since 1970, on the clock of the process that wrote them. Where a component has another key in the JSON
+ * report, its annotation names the key.
+ *
+ * @param name name of the balancer
+ * @param incarnation incarnation of the process that wrote the state; increases with each start
+ * @param writtenAt time at which the state was written; 0 if no state was found
  * @param maintenanceOrders maintenance orders by upstream
- * @param learned learned state, by locality
- * @param learnedAt when that was exported
- * @param endpointSnapshot endpoint snapshot, or null
- * @param clock of the process that wrote it
+ * @param learned learned state by locality
+ * @param learnedAt time at which the learned state was exported
+ * @param endpointSnapshot endpoint snapshot, or null if there is none
+ * @param clock clock of the process that wrote the state
  */
 public record PersistentState(
         String name,
@@ -34,7 +37,7 @@
         @JsonProperty("listed") EndpointSnapshot endpointSnapshot,
         ClockOrigin clock) {
 
-    /** The JSON report shows learned state in its stored form. */
+    /** Converts learned state to its stored form for the JSON report. */
     static final class StoredRow extends StdConverter<LearnedLocality, double[]> {
         @Override
         public double[] convert(LearnedLocality learned) {
@@ -42,7 +45,7 @@
         }
     }
 
-    /** A state whose clock is not known. */
+    /** Creates a state whose clock is unknown. */
     public PersistentState(
             String name,
             long incarnation,
@@ -62,23 +65,30 @@
                 ClockOrigin.UNKNOWN);
     }
 
-    /** The value of {@link MaintenanceOrder#endedAt} while the upstream is in maintenance. */
+    /** Value of {@link MaintenanceOrder#endedAt} while the upstream is in maintenance. */
     public static final long NOT_ENDED = Long.MAX_VALUE;
 
     /**
-     * An operator's maintenance order for an upstream.
+     * Maintenance order of an operator for an upstream.
      *
-     * @param endedAt when the upstream was put back into service, or NOT_ENDED
-     * @param orderedAt when the order was given
+     * @param endedAt time at which the upstream was put back into service, or NOT_ENDED
+     * @param orderedAt time at which the order was given
      */
     public record MaintenanceOrder(
             @JsonProperty("back") long endedAt,
             @JsonProperty("said") long orderedAt) {}
 
-    /** An endpoint snapshot: its index, the discovery service it came from, and when the watch last confirmed it. */
+    /**
+     * Endpoint list as it was last confirmed by discovery.
+     *
+     * @param index index of the list
+     * @param discovery address of the discovery service that sent the list
+     * @param confirmed time at which the watch last confirmed the list
+     * @param members endpoints of the list
+     */
     public record EndpointSnapshot(long index, String discovery, long confirmed, List<StoredEndpoint> members) {}
 
-    /** One endpoint, in the terms of the discovery protocol. */
+    /** Endpoint with the fields that it has in the discovery protocol. */
     public record StoredEndpoint(
             String name,
             String address,
@@ -89,10 +99,13 @@
             double weight,
             long sinceMs) {}
 
-    /** The state of a balancer that has stored nothing. */
+    /** State of a balancer that has stored nothing. */
     public static final PersistentState NONE = new PersistentState("", 0, 0, Map.of(), List.of(), 0, null);
 
-    /** All orders of both; for an upstream in both the later order, and of two given at the same time the one that ends later. */
+    /**
+     * Returns all orders of both maps. For an upstream that is in both, the later order applies; of two orders given at the same time, the
+     * one that ends later.
+     */
     public static Map<String, MaintenanceOrder> merged(
             Map<String, MaintenanceOrder> orders, Map<String, MaintenanceOrder> others) {
         Map<String, MaintenanceOrder> all = new TreeMap<>(orders);
@@ -107,13 +120,13 @@
         return one.endedAt > other.endedAt ? one : other;
     }
 
-    /** The same state with other maintenance orders. */
+    /** Returns the same state with other maintenance orders. */
     public PersistentState with(Map<String, MaintenanceOrder> orders) {
         return new PersistentState(name, incarnation, writtenAt, orders, learned, learnedAt, endpointSnapshot, clock);
     }
 
-    /** The same state with its times converted to another clock, if the two can be compared. */
-    PersistentState on(ClockOrigin other) {
+    /** Returns the same state with its times converted to another clock; unchanged if the two clocks cannot be compared. */
+    PersistentState convertedTo(ClockOrigin other) {
         long shift = other.shiftFrom(clock);
         if (shift == 0) {
             return this;
--- a/balancer/src/main/java/gorsestack/recovery/RecoveryPhase.java
+++ b/balancer/src/main/java/gorsestack/recovery/RecoveryPhase.java
@@ -1,12 +1,15 @@
 package gorsestack.recovery;
 
-/** How far a process has recovered after its start. The names are part of the status report. */
+/**
+ * Phase of a process's recovery after its start, as {@link RecoveryProgress} tracks it. The names of the constants are part of the status
+ * report.
+ */
 public enum RecoveryPhase {
-    /** No endpoint list was received since the start. */
+    /** No endpoint list has been received since the start. */
     COLD,
-    /** An endpoint list is known; clients are not accepted yet. */
+    /** An endpoint list is known, but clients are not accepted yet. */
     LISTED,
-    /** Clients are accepted; not enough calls succeed yet. */
+    /** Clients are accepted, but not enough calls succeed yet. */
     WARMING,
     /** Calls succeed as in normal operation. */
     FULL
--- a/balancer/src/main/java/gorsestack/recovery/RestorePolicy.java
+++ b/balancer/src/main/java/gorsestack/recovery/RestorePolicy.java
@@ -6,29 +6,35 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 
-/** Decides what of a stored state is still valid at a start, by its age and origin. Given the time; performs no I/O. */
+/**
+ * Decides which parts of a stored state are still valid at a start, by their age and origin. Used by the server at the start, and by the
+ * recovery coordinator. Callers pass the current time; this class is stateless and performs no I/O.
+ */
 public final class RestorePolicy {
-    /** Clocks of one machine are adjusted by this much without anybody's notice. */
+    /** Tolerance in nanoseconds for a state written in the future, as a host's clock may be adjusted by that much in operation. */
     private static final long CLOCK_TOLERANCE_NANOS = 1_000_000_000L;
 
     private static final long NANOS_PER_MS = 1_000_000;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    /** Discovery is one small service that handles requests in turn; a fleet that restarts at once sends it so many a second. */
+    /**
+     * Rate at which a fleet that restarts at once sends list requests. Discovery is a single small service that handles requests one after
+     * the other.
+     */
     private static final double LIST_REQUESTS_PER_SECOND = 4;
-    /** A locality with more of its upstreams left than this share counts as unchanged. */
-    private static final double UNCHANGED_MEMBER_SHARE = 0.9;
-    /** At its maximum age learned state has decayed to exp(-4), 2 %. */
+    /** Fraction of a locality's previous upstreams below which its concurrency limit is reduced. */
+    private static final double UNCHANGED_MEMBER_FRACTION = 0.9;
+    /** Exponent of the decay. At its maximum age learned state has decayed to exp(-4), about 2 %. */
     private static final double DECAY_EXPONENT = 4;
 
     private RestorePolicy() {}
 
     /**
-     * What is still valid.
+     * Parts of a stored state that are still valid.
      *
      * @param maintenanceOrders maintenance orders, which are valid at any age
-     * @param endpointSnapshot endpoint snapshot, or null
+     * @param endpointSnapshot endpoint snapshot, or null if none is valid
      * @param learned learned state, decayed by its age; empty if none is valid
-     * @param incarnation of this process
+     * @param incarnation incarnation of this process
      * @param ordersMayBeLost whether maintenance orders may be missing
      * @param rejections a log line for each part that was rejected
      */
@@ -43,10 +49,12 @@
     /**
      * Evaluates the state found at a start.
      *
-     * @param now nanoseconds from 1970
-     * @param discovery where the configuration says that endpoint lists come from
-     * @param configuredIndex the index of the endpoint list in the configuration
-     * @param maxLearnedAge learned state of this age is rejected; the slow start, after which an upstream's capacity may have changed
+     * @param name name of this balancer; a state of another balancer is rejected
+     * @param now current time in nanoseconds since 1970
+     * @param discovery configured address of the discovery service
+     * @param configuredIndex index of the endpoint list in the configuration
+     * @param maxLearnedAge age in nanoseconds from which learned state is rejected; the length of the slow start, after which an upstream's
+     *     capacity may have changed
      */
     public static Restored of(
             PersistentState state, String name, long now, String discovery, long configuredIndex, long maxLearnedAge) {
@@ -58,7 +66,7 @@
             String rejection = "state_rejected reason=other_balancer name=" + state.name();
             return new Restored(Map.of(), null, List.of(), minIncarnation, true, List.of(rejection));
         }
-        // Incarnations increase even if the clock was set back since.
+        // The incarnation increases even if the clock was set back since the last start.
         long incarnation = Math.max(minIncarnation, state.incarnation() + 1);
         long age = now - state.writtenAt();
         if (age < -CLOCK_TOLERANCE_NANOS) {
@@ -104,9 +112,9 @@
     }
 
     /**
-     * Concurrency limits and response rates, each times exp(-4 age / maxAge), nothing past the maximum age: what upstreams could take then
-     * says less and less of what they can take now. A limit that is too low is corrected within a second, one that is too high only
-     * after queues have built up.
+     * Returns learned state with concurrency limits and response rates multiplied by exp(-4 age / maxAge); empty from the maximum age on.
+     * The older the state, the more the upstreams' current capacity may differ from the learned one. A limit that is too low is corrected
+     * within a second, one that is too high only after queues have built up.
      */
     private static List<LearnedLocality> decayed(PersistentState state, long now, long maxAge) {
         double age = Math.max(0, now - state.learnedAt());
@@ -120,13 +128,14 @@
     }
 
     /**
-     * When a process with a restored endpoint snapshot requests updates for it. The requests of a fleet that restarts at once are spread
-     * over a second for each four balancers, but end by the deadline.
+     * Returns the time at which a process with a restored endpoint snapshot requests an update. The requests of a fleet that restarts at
+     * once are spread over one second for every four balancers, but end by the deadline.
      *
-     * @param deadline by which every endpoint update must count as delivered
-     * @param updateDelay within which every endpoint update counts as delivered; requests are spread over a fifth of it at least, as at
-     *     any start, even if the deadline has passed
-     * @param draw a random number from 0 up to 1
+     * @param deadline time by which every endpoint update must have been delivered
+     * @param updateDelay time in nanoseconds within which every endpoint update counts as delivered; requests are spread over at least a
+     *     fifth of it, as at any start, even if the deadline has passed
+     * @param balancers number of balancers in the fleet
+     * @param draw random number from 0 (inclusive) to 1 (exclusive)
      */
     public static long listRequestTime(long now, long deadline, long updateDelay, int balancers, double draw) {
         double fleetDuration = balancers / LIST_REQUESTS_PER_SECOND * NANOS_PER_SECOND;
@@ -135,11 +144,12 @@
     }
 
     /**
-     * Reduces concurrency limits where discovery's list has fewer upstreams in a locality than when its state was learned, in proportion.
+     * Reduces the concurrency limit of each locality that has fewer upstreams in the list of discovery than when its state was learned, in
+     * proportion to the number of upstreams.
      *
-     * @param restored the state restored at the start
-     * @param current the same localities as they are now
-     * @return the current state with reduced limits, or null if no limit changes
+     * @param restored learned state that was restored at the start
+     * @param current current learned state of the same localities
+     * @return the current learned state with reduced limits, or null if no limit changes
      */
     public static List<LearnedLocality> reducedWithFleet(
             List<LearnedLocality> restored, List<LearnedLocality> current) {
@@ -150,9 +160,9 @@
             OptionalDouble membersNow = current.get(i).memberCount();
             if (membersBefore.isPresent()
                     && membersNow.isPresent()
-                    && membersNow.getAsDouble() < UNCHANGED_MEMBER_SHARE * membersBefore.getAsDouble()) {
-                double remainingShare = membersNow.getAsDouble() / membersBefore.getAsDouble();
-                double limit = current.get(i).concurrencyLimit() * remainingShare;
+                    && membersNow.getAsDouble() < UNCHANGED_MEMBER_FRACTION * membersBefore.getAsDouble()) {
+                double remainingFraction = membersNow.getAsDouble() / membersBefore.getAsDouble();
+                double limit = current.get(i).concurrencyLimit() * remainingFraction;
                 reduced.set(i, current.get(i).withConcurrencyLimit(limit));
                 anyReduced = true;
             }
--- a/balancer/src/main/java/gorsestack/recovery/SnapshotStore.java
+++ b/balancer/src/main/java/gorsestack/recovery/SnapshotStore.java
@@ -9,39 +9,42 @@
 import java.util.function.Consumer;
 
 /**
- * Stores a balancer's state in files so that a crash at any step leaves a complete copy. A new copy is written beside the current one,
- * then takes its place, and the previous one stays as a backup. Blocks on the disk, so it is never used on the event loop's thread.
+ * Stores a balancer's state in files so that a crash at any step leaves a complete copy. A new copy is written to a separate file, then
+ * replaces the current one, and the previous one stays as a backup. Used by the handover on its own thread and once by the server at the
+ * start; not used on the event loop's thread, as it blocks on disk I/O.
  */
 public final class SnapshotStore {
-    /** A larger file was not written by this program: 2,000 upstreams take half a megabyte. */
+    /** Maximum size of a file in bytes. This program writes no larger one: 2,000 upstreams take 0.5 MB. */
     static final int MAX_BYTES = 8 << 20;
 
     private static final byte[] NO_BYTES = {};
 
     private final Storage storage;
     private final String file;
-    private final boolean lasting;
+    private final boolean durable;
     private final Consumer<String> warn;
     private final ClockOrigin clock;
-    private byte[] lastSeen = NO_BYTES;
+    /** Content of the current copy when it was last read or written by this store; empty if it did not exist. */
+    private byte[] lastSeenBytes = NO_BYTES;
+    /** Whether the last write failed. */
     private boolean failing;
 
     /**
-     * A store for a process whose clock is not known; times are read as they are.
+     * Creates a store for a process whose clock is unknown; times are read unchanged.
      *
-     * @param lasting whether the state must survive a crash of the machine, so that each write waits for the disk
+     * @param durable whether the state must survive a crash of the host, so that each write waits for the disk
      * @param warn receives a line for each copy that cannot be used and for the first of consecutive failed writes
      */
-    public SnapshotStore(Storage storage, String file, boolean lasting, Consumer<String> warn) {
-        this(storage, file, lasting, warn, ClockOrigin.UNKNOWN);
+    public SnapshotStore(Storage storage, String file, boolean durable, Consumer<String> warn) {
+        this(storage, file, durable, warn, ClockOrigin.UNKNOWN);
     }
 
-    /** A store that converts the times it reads to the clock of this process, whichever process wrote them. */
-    public SnapshotStore(Storage storage, String file, boolean lasting, Consumer<String> warn, ClockOrigin clock) {
+    /** Creates a store that converts the times it reads from the clock of the process that wrote them to the given clock. */
+    public SnapshotStore(Storage storage, String file, boolean durable, Consumer<String> warn, ClockOrigin clock) {
         this.clock = clock;
         this.storage = storage;
         this.file = file;
-        this.lasting = lasting;
+        this.durable = durable;
         this.warn = warn;
     }
 
@@ -53,22 +56,22 @@
         return file + ".new";
     }
 
-    /** Whether the current copy has changed since it was last read or written by this store. */
+    /** Returns whether the current copy has changed since this store last read or wrote it. */
     public boolean changed() {
         try {
             byte[] current = storage.read(file);
-            return !Arrays.equals(current == null ? NO_BYTES : current, lastSeen);
+            return !Arrays.equals(current == null ? NO_BYTES : current, lastSeenBytes);
         } catch (IOException e) {
-            return false; // load() reports it
+            return false; // load() reports the error.
         }
     }
 
-    /** Merges all copies: the latest complete one, with the maintenance orders of all. Copies that do not exist are skipped. */
+    /** Returns the latest complete copy with the maintenance orders of all copies merged. Copies that do not exist are skipped. */
     public PersistentState load() {
         PersistentState latest = PersistentState.NONE;
         Map<String, PersistentState.MaintenanceOrder> orders = Map.of();
         for (StateCodec.Read copy : readSnapshots()) {
-            PersistentState state = copy.state().on(clock);
+            PersistentState state = copy.state().convertedTo(clock);
             orders = PersistentState.merged(orders, state.maintenanceOrders());
             if (copy.complete() && isLater(state, latest)) {
                 latest = state;
@@ -88,7 +91,7 @@
             try {
                 byte[] bytes = storage.read(copy);
                 if (copy.equals(file)) {
-                    lastSeen = bytes == null ? NO_BYTES : bytes;
+                    lastSeenBytes = bytes == null ? NO_BYTES : bytes;
                 }
                 if (bytes != null) {
                     snapshots.add(decode(copy, bytes));
@@ -104,24 +107,28 @@
         StateCodec.Read read = bytes.length > MAX_BYTES
                 ? StateCodec.Read.damaged(PersistentState.NONE, "it is too large")
                 : StateCodec.read(new String(bytes, StandardCharsets.UTF_8));
-        // A crash during a write leaves an incomplete new copy, whose content was not acknowledged to anybody.
+        // A crash during a write leaves an incomplete new copy, whose content has not been acknowledged to an operator.
         if (!read.complete() && !copy.equals(newFile())) {
             warn.accept("snapshot_damaged file=" + copy + " error=" + read.damage());
         }
         return read;
     }
 
-    /** Throws if the state could not be written; the previous copy is then still there. */
+    /**
+     * Replaces the current copy with the given state.
+     *
+     * @throws IOException if the state could not be written; the previous state can then still be loaded
+     */
     public void save(PersistentState state) throws IOException {
         try {
             byte[] bytes = StateCodec.write(state).getBytes(StandardCharsets.UTF_8);
             replaceCurrent(bytes);
-            lastSeen = bytes;
+            lastSeenBytes = bytes;
             failing = false;
         } catch (IOException e) {
             if (!failing) {
                 failing = true;
-                warn.accept(file + " is not kept: " + e);
+                warn.accept(file + " could not be written, the previous copy stays on disk: " + e);
             }
             throw e;
         }
@@ -129,14 +136,14 @@
 
     private void replaceCurrent(byte[] bytes) throws IOException {
         storage.write(newFile(), bytes);
-        if (lasting) {
+        if (durable) {
             storage.sync(newFile());
         }
         if (storage.read(file) != null) {
             storage.rename(file, backupFile());
         }
         storage.rename(newFile(), file);
-        if (lasting) {
+        if (durable) {
             storage.syncFolder();
         }
     }
--- a/balancer/src/main/java/gorsestack/recovery/StateCodec.java
+++ b/balancer/src/main/java/gorsestack/recovery/StateCodec.java
@@ -10,12 +10,13 @@
 import java.util.zip.CRC32C;
 
 /**
- * The text form of {@link PersistentState}: a line that names the format and its version, then one record a line, each a JSON object behind
- * its CRC-32C. The last record counts the others. Each line can be verified without the others, so that maintenance orders can be
- * recovered from a damaged file.
+ * Encodes and decodes the text form of {@link PersistentState}. The first line names the format and its version. Each further line is one
+ * record, a JSON object preceded by its CRC-32C; the last record holds the number of the others. Each line can be verified without the
+ * others, so that maintenance orders can be recovered from a damaged file. Used by {@link SnapshotStore} and the command line's state
+ * report; the line format is also that of the member log. Stateless.
  */
 public final class StateCodec {
-    /** The version that is written. */
+    /** Version of the format that is written. */
     public static final int VERSION = 1;
 
     private static final String FORMAT_PREFIX = "gorsestack state ";
@@ -25,11 +26,11 @@
     private StateCodec() {}
 
     /**
-     * The result of reading.
+     * Result of reading a text.
      *
-     * @param state what could be used of the text
+     * @param state state with everything in the text that can be used
      * @param complete whether the text is complete and undamaged
-     * @param damage what is damaged, in a few words; empty if nothing is
+     * @param damage short description of the damage; empty if there is none
      */
     public record Read(PersistentState state, boolean complete, String damage) {
         static Read complete(PersistentState state) {
@@ -41,12 +42,12 @@
         }
     }
 
-    /** The text form of a state. */
+    /** Returns the text form of a state. */
     public static String write(PersistentState state) {
         return new Writer().write(state);
     }
 
-    /** Reads the text form of this version or of version 0.5; of any other text what can be verified. */
+    /** Reads the text form of this version or of version 0.5. From any other text it reads the records that can be verified. */
     public static Read read(String text) {
         if (text.isEmpty()) {
             return Read.damaged(PersistentState.NONE, "it is empty");
@@ -56,24 +57,24 @@
             return LegacyStateReader.read(lines);
         }
         if (!lines[0].startsWith(FORMAT_PREFIX)) {
-            return Read.damaged(PersistentState.NONE, "it is of another form");
+            return Read.damaged(PersistentState.NONE, "it is not a state file");
         }
         int version;
         try {
             version =
                     Integer.parseInt(lines[0].substring(FORMAT_PREFIX.length()).strip());
         } catch (NumberFormatException e) {
-            return Read.damaged(PersistentState.NONE, "its version cannot be read");
+            return Read.damaged(PersistentState.NONE, "its format version is not a number");
         }
         return new StateRecordReader().read(version, lines);
     }
 
-    /** A line of the format, with its checksum and line end. */
+    /** Returns a line of the format: the checksum, the JSON text and the line end. */
     public static String line(String json) {
         return checksum(json) + " " + json + "\n";
     }
 
-    /** The JSON text of a line without its line end, or null if its checksum is wrong. */
+    /** Returns the JSON text of a line that is given without its line end; null if the checksum is wrong. */
     public static String checked(String line) {
         boolean hasChecksum = line.length() > CHECKSUM_LENGTH + 1 && line.charAt(CHECKSUM_LENGTH) == ' ';
         if (!hasChecksum) {
@@ -90,7 +91,7 @@
         return String.format("%08x", crc.getValue());
     }
 
-    /** Writes one state; the names of records and fields are part of the stored format. */
+    /** Writes one state. The names of records and fields are part of the stored format. */
     private static final class Writer {
         private final StringBuilder text =
                 new StringBuilder(FORMAT_PREFIX).append(VERSION).append('\n');
--- a/balancer/src/main/java/gorsestack/recovery/StateRecordReader.java
+++ b/balancer/src/main/java/gorsestack/recovery/StateRecordReader.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reads the records of one state text; see {@link StateCodec} for the format. */
+/** Reads the records of one state text, whose format {@link StateCodec} describes. {@link StateCodec} creates one reader per text. */
 final class StateRecordReader {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -26,20 +26,21 @@
     private int damagedLines;
     private boolean endFound;
 
+    /** Reads all lines behind the first; damaged lines are skipped. */
     StateCodec.Read read(int version, String[] lines) {
-        // Behind the last line end there is nothing, or a line that was cut off.
+        // The last element is empty, or a line that was cut off.
         for (int i = 1; i < lines.length - 1; i++) {
             readLine(lines[i]);
         }
         boolean complete = endFound && damagedLines == 0 && lines[lines.length - 1].isEmpty();
         String usable = "; taken are " + orders.size() + " bans";
         if (version > StateCodec.VERSION) {
-            // A maintenance order has the same meaning in any version; other records of a later one may not.
+            // Maintenance orders have the same meaning in every version; other records of a later version may differ.
             String damage = "it is of version " + version + ", later than " + StateCodec.VERSION;
             return StateCodec.Read.damaged(ordersOnly(), damage + usable);
         }
         if (!complete) {
-            String damage = damagedLines > 0 ? damagedLines + " lines are damaged" : "it is cut short";
+            String damage = damagedLines > 0 ? damagedLines + " lines are damaged" : "it is truncated";
             return StateCodec.Read.damaged(ordersOnly(), damage + usable);
         }
         return StateCodec.Read.complete(state());
@@ -59,7 +60,7 @@
             case "list" -> snapshot = record;
             case "member" -> readEndpoint(record);
             case "end" -> endFound = record.path("lines").asInt(-1) == intactRecords;
-            default -> {} // a later writer of this version may add records that can be ignored
+            default -> {} // Unknown records are ignored, so that a later release can add records within this version.
         }
         intactRecords++;
     }
@@ -81,9 +82,9 @@
     }
 
     private void readOrder(JsonNode record) {
-        long back = record.path("back").asLong(PersistentState.NOT_ENDED);
+        long endedAt = record.path("back").asLong(PersistentState.NOT_ENDED);
         long orderedAt = record.path("said").asLong();
-        orders.put(record.path("upstream").asText(), new PersistentState.MaintenanceOrder(back, orderedAt));
+        orders.put(record.path("upstream").asText(), new PersistentState.MaintenanceOrder(endedAt, orderedAt));
     }
 
     private void readLearned(JsonNode record) {
--- a/balancer/src/main/java/gorsestack/recovery/Storage.java
+++ b/balancer/src/main/java/gorsestack/recovery/Storage.java
@@ -2,23 +2,26 @@
 
 import java.io.IOException;
 
-/** The operations on a folder's files that stores are built from, so that a test can interrupt or fail each of them. */
+/**
+ * File operations in a folder, on which {@link SnapshotStore} and the member log are based. An interface, so that a test can interrupt
+ * each operation or let it fail. All methods may block.
+ */
 public interface Storage {
-    /** The content of a file, or null if it does not exist. */
+    /** Returns the content of a file, or null if the file does not exist. */
     byte[] read(String file) throws IOException;
 
-    /** Replaces the content of a file, or creates it. */
+    /** Replaces the content of a file, or creates the file. */
     void write(String file, byte[] bytes) throws IOException;
 
-    /** Adds to the end of a file, or creates it. */
+    /** Appends to a file, or creates the file. */
     void append(String file, byte[] bytes) throws IOException;
 
-    /** Returns when the file's content is on the disk. */
+    /** Blocks until the content of the file is on the disk. */
     void sync(String file) throws IOException;
 
-    /** Renames a file atomically, in place of one that has the new name. */
-    void rename(String from, String to) throws IOException;
+    /** Renames a file atomically; a file that has the new name is replaced. */
+    void rename(String oldName, String newName) throws IOException;
 
-    /** Returns when earlier renames are on the disk. */
+    /** Blocks until earlier renames are on the disk. */
     void syncFolder() throws IOException;
 }
--- a/balancer/src/main/java/gorsestack/recovery/package-info.java
+++ b/balancer/src/main/java/gorsestack/recovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Recovery after a restart: the state that a balancer stores, what of it is still valid at a start, and the protocol by which peers help a
- * process that has lost its state. Nothing here depends on sockets or threads; callers give the time.
+ * Recovery after a restart: stores a balancer's state, decides which parts of it are still valid at a start, and restores lost state from
+ * peers. This package does not depend on sockets or threads; callers pass the current time.
  */
 package gorsestack.recovery;
--- a/balancer/src/test/java/gorsestack/recovery/SnapshotStoreTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/SnapshotStoreTest.java
@@ -22,6 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Guards against state that is lost or damaged by a crash or a failed write, and against restoring state that is no longer valid. */
 class SnapshotStoreTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long NOW = 1_764_000_000L * SECOND;
@@ -31,9 +32,9 @@
 
     private final List<String> warnings = new ArrayList<>();
 
-    private static PersistentState state(long incarnation, String... out) {
+    private static PersistentState state(long incarnation, String... inMaintenance) {
         Map<String, PersistentState.MaintenanceOrder> orders = new TreeMap<>();
-        for (String upstream : out) {
+        for (String upstream : inMaintenance) {
             orders.put(upstream, new PersistentState.MaintenanceOrder(PersistentState.NOT_ENDED, NOW));
         }
         return new PersistentState(
@@ -59,25 +60,25 @@
     }
 
     @Test
-    void readsWhatItWrote() {
-        PersistentState s = state(7, "s1", "é \n\"x\"")
+    void readsStateThatItHasWritten() {
+        PersistentState state = state(7, "s1", "é \n\"x\"")
                 .with(Map.of(
                         "s1",
                         new PersistentState.MaintenanceOrder(PersistentState.NOT_ENDED, 3),
                         "s2",
                         new PersistentState.MaintenanceOrder(9, 9)));
-        StateCodec.Read read = StateCodec.read(text(s));
+        StateCodec.Read read = StateCodec.read(text(state));
         assertTrue(read.complete());
-        assertEquals(s.maintenanceOrders(), read.state().maintenanceOrders());
-        assertEquals(s.endpointSnapshot(), read.state().endpointSnapshot());
+        assertEquals(state.maintenanceOrders(), read.state().maintenanceOrders());
+        assertEquals(state.endpointSnapshot(), read.state().endpointSnapshot());
         assertArrayEquals(
-                s.learned().get(0).toRow(), read.state().learned().get(0).toRow());
-        assertEquals(text(s), text(read.state()));
+                state.learned().get(0).toRow(), read.state().learned().get(0).toRow());
+        assertEquals(text(state), text(read.state()));
     }
 
-    /** Cut off at any byte, or with any byte changed: no exception, no value that was not written, no intact order lost. */
+    /** Truncated or changed at any byte, a text causes no exception, yields no value that was not written, and loses no intact order. */
     @Test
-    void fromADamagedTextOnlyOrdersAreTaken() {
+    void readsOnlyOrdersFromDamagedText() {
         String whole = text(state(7, "s1", "s2"));
         for (int cut = 0; cut < whole.length(); cut++) {
             StateCodec.Read read = StateCodec.read(whole.substring(0, cut));
@@ -110,17 +111,17 @@
     }
 
     @Test
-    void readsOrdersOfALaterVersion() {
+    void readsOnlyOrdersOfLaterVersion() {
         String whole = text(state(7, "s1"));
         StateCodec.Read later = StateCodec.read(whole.replace("state 1\n", "state 9\n"));
         assertFalse(later.complete());
         assertEquals(1, later.state().maintenanceOrders().size());
         assertNull(later.state().endpointSnapshot());
         assertTrue(later.damage().contains("version 9"), later.damage());
-        assertEquals("it is of another form", StateCodec.read("hello\n").damage());
+        assertEquals("it is not a state file", StateCodec.read("hello\n").damage());
     }
 
-    /** A disk in memory that stops at a step, as with a power failure, or fails there. */
+    /** Storage in memory that stops at a given step, as after a power failure, or throws an exception there. */
     private static final class FakeDisk implements Storage {
         private final Map<String, byte[]> files = new HashMap<>();
         private int steps;
@@ -146,7 +147,7 @@
             return files.get(file);
         }
 
-        /** Each byte is a step. */
+        /** Writes 16 bytes per step. */
         @Override
         public void write(String file, byte[] bytes) throws IOException {
             for (int i = 0; i <= bytes.length; i += 16) {
@@ -159,7 +160,7 @@
 
         @Override
         public void append(String file, byte[] bytes) {
-            throw new AssertionError("a state is never appended to");
+            throw new AssertionError("a state file must not be appended to");
         }
 
         @Override
@@ -180,9 +181,9 @@
         }
     }
 
-    /** Killed at every step of a write: a complete state is found, the old or the new one, with all orders of the old one. */
+    /** After a crash or an error at any step of a write, the previous or the new state is loaded, with all orders of the previous one. */
     @Test
-    void aCrashAtAnyStepLeavesAWholeState() throws Exception {
+    void loadsCompleteStateAfterCrashOrErrorAtAnyStep() throws Exception {
         for (boolean fails : new boolean[] {false, true}) {
             int steps = 0;
             for (int stopAt = 0; ; stopAt++) {
@@ -193,21 +194,21 @@
                 store.save(state(2, "s1", "s2"));
                 disk.steps = 0;
                 disk.stopAt = stopAt;
-                boolean through = false;
+                boolean saved = false;
                 try {
                     store.save(state(3, "s1", "s2", "s3"));
-                    through = true;
+                    saved = true;
                 } catch (FakeDisk.Stopped | IOException e) {
                     steps++;
                 }
-                PersistentState found = new SnapshotStore(disk, "s", true, warnings::add).load();
+                PersistentState loaded = new SnapshotStore(disk, "s", true, warnings::add).load();
                 assertTrue(
-                        found.incarnation() == 2 || found.incarnation() == 3,
-                        "at " + stopAt + ": " + found.incarnation());
-                assertTrue(found.maintenanceOrders().keySet().containsAll(List.of("s1", "s2")), "at " + stopAt);
-                assertNotNull(found.endpointSnapshot());
-                if (through) {
-                    assertEquals(3, found.incarnation());
+                        loaded.incarnation() == 2 || loaded.incarnation() == 3,
+                        "at " + stopAt + ": " + loaded.incarnation());
+                assertTrue(loaded.maintenanceOrders().keySet().containsAll(List.of("s1", "s2")), "at " + stopAt);
+                assertNotNull(loaded.endpointSnapshot());
+                if (saved) {
+                    assertEquals(3, loaded.incarnation());
                     break;
                 }
                 if (fails) {
@@ -218,17 +219,16 @@
                             new SnapshotStore(disk, "s", true, warnings::add)
                                     .load()
                                     .incarnation(),
-                            "writes succeed again");
+                            "a write after the error succeeds");
                 }
             }
             assertTrue(steps > 20, steps + " steps");
         }
-        assertTrue(warnings.stream().allMatch(s -> s.contains("is not kept")), warnings.toString());
+        assertTrue(warnings.stream().allMatch(warning -> warning.contains("could not be written")), warnings.toString());
     }
 
-    /** One warning while writes fail, one more when they fail again. */
     @Test
-    void warnsOnceWhileWritesFail() throws Exception {
+    void warnsOncePerSeriesOfFailedWrites() throws Exception {
         FakeDisk disk = new FakeDisk();
         disk.fails = true;
         SnapshotStore store = new SnapshotStore(disk, "s", true, warnings::add);
@@ -246,9 +246,9 @@
         assertEquals(2, warnings.size());
     }
 
-    /** The current copy is damaged: the backup is taken, with the orders of both. */
+    /** If the current copy is damaged, the backup is loaded, with the orders of both copies. */
     @Test
-    void takesTheBackupAndTheOrdersOfBoth() throws Exception {
+    void loadsBackupWithOrdersOfBothCopiesWhenCurrentCopyIsDamaged() throws Exception {
         FileStorage disk = new FileStorage(folder);
         SnapshotStore store = new SnapshotStore(disk, "s", true, warnings::add);
         store.save(state(1, "s1"));
@@ -271,7 +271,7 @@
     }
 
     @Test
-    void ofTwoOrdersForOneUpstreamTheLaterHolds() {
+    void laterOfTwoOrdersForAnUpstreamApplies() {
         Map<String, PersistentState.MaintenanceOrder> a = Map.of(
                 "x",
                 new PersistentState.MaintenanceOrder(PersistentState.NOT_ENDED, 5),
@@ -287,7 +287,7 @@
                 "z",
                 new PersistentState.MaintenanceOrder(7, 7));
         Map<String, PersistentState.MaintenanceOrder> both = PersistentState.merged(a, b);
-        assertEquals(both, PersistentState.merged(b, a), "in any order");
+        assertEquals(both, PersistentState.merged(b, a), "the result does not depend on the order of the arguments");
         assertEquals(
                 "8 6 " + PersistentState.NOT_ENDED,
                 both.get("x").endedAt() + " " + both.get("y").endedAt() + " "
@@ -299,7 +299,7 @@
     }
 
     @Test
-    void restoresByAgeAndOrigin() {
+    void restoresOnlyWhatIsValidByAgeAndOrigin() {
         RestorePolicy.Restored fresh = restored(state(7, "s1"), NOW + SECOND);
         assertEquals(
                 "1 2 1 []",
@@ -308,79 +308,79 @@
                         + fresh.learned().size() + " " + fresh.rejections());
         assertEquals(4 * Math.exp(-0.2), fresh.learned().get(0).concurrencyLimit(), 1e-9);
         assertEquals(0.2, fresh.learned().get(0).latencyRatio(), 1e-9);
-        RestorePolicy.Restored old = restored(state(7, "s1"), NOW + 20 * SECOND);
+        RestorePolicy.Restored afterMaxAge = restored(state(7, "s1"), NOW + 20 * SECOND);
         assertEquals(
                 "1 2 0",
-                old.maintenanceOrders().size() + " "
-                        + old.endpointSnapshot().members().size() + " "
-                        + old.learned().size());
-        assertEquals(1, old.rejections().size());
-        RestorePolicy.Restored day = restored(state(7, "s1"), NOW + 86_400 * SECOND);
+                afterMaxAge.maintenanceOrders().size() + " "
+                        + afterMaxAge.endpointSnapshot().members().size() + " "
+                        + afterMaxAge.learned().size());
+        assertEquals(1, afterMaxAge.rejections().size());
+        RestorePolicy.Restored afterOneDay = restored(state(7, "s1"), NOW + 86_400 * SECOND);
         assertEquals(
                 "1 true 0",
-                day.maintenanceOrders().size() + " " + (day.endpointSnapshot() != null) + " "
-                        + day.learned().size());
-        RestorePolicy.Restored ahead = restored(state(7, "s1"), NOW - 2 * SECOND);
+                afterOneDay.maintenanceOrders().size() + " " + (afterOneDay.endpointSnapshot() != null) + " "
+                        + afterOneDay.learned().size());
+        RestorePolicy.Restored inFuture = restored(state(7, "s1"), NOW - 2 * SECOND);
         assertEquals(
                 "1 null 0",
-                ahead.maintenanceOrders().size() + " " + ahead.endpointSnapshot() + " "
-                        + ahead.learned().size());
-        RestorePolicy.Restored another = RestorePolicy.of(state(7, "s1"), "n2", NOW, "127.0.0.1:8500", 40, 20 * SECOND);
+                inFuture.maintenanceOrders().size() + " " + inFuture.endpointSnapshot() + " "
+                        + inFuture.learned().size());
+        RestorePolicy.Restored ofOtherBalancer = RestorePolicy.of(state(7, "s1"), "n2", NOW, "127.0.0.1:8500", 40, 20 * SECOND);
         assertEquals(
                 "0 null 0 1",
-                another.maintenanceOrders().size() + " " + another.endpointSnapshot() + " "
-                        + another.learned().size() + " " + another.rejections().size());
+                ofOtherBalancer.maintenanceOrders().size() + " " + ofOtherBalancer.endpointSnapshot() + " "
+                        + ofOtherBalancer.learned().size() + " " + ofOtherBalancer.rejections().size());
         assertNull(
                 RestorePolicy.of(state(7), "n1", NOW, "127.0.0.1:8501", 40, SECOND)
                         .endpointSnapshot(),
-                "another discovery counts another list");
+                "the index of another discovery service is not comparable");
         assertNull(
                 RestorePolicy.of(state(7), "n1", NOW, "127.0.0.1:8500", 42, SECOND)
                         .endpointSnapshot(),
-                "the configuration's is newer");
+                "the list in the configuration is newer");
         assertEquals(List.of(), restored(PersistentState.NONE, NOW).rejections());
     }
 
-    /** Increases at each start: by the stored state, or by the clock if that is lost. */
+    /** The incarnation increases at each start: from the stored one, or with the clock if the state is lost. */
     @Test
-    void theIncarnationIncreases() {
-        long byClock = NOW / 1_000_000;
-        assertEquals(byClock, restored(PersistentState.NONE, NOW).incarnation());
-        assertEquals(byClock, restored(state(7), NOW).incarnation());
-        assertEquals(byClock + 6, restored(state(byClock + 5), NOW).incarnation(), "the clock was set back");
+    void incarnationIncreasesAtEachStart() {
+        long fromClock = NOW / 1_000_000;
+        assertEquals(fromClock, restored(PersistentState.NONE, NOW).incarnation());
+        assertEquals(fromClock, restored(state(7), NOW).incarnation());
+        assertEquals(fromClock + 6, restored(state(fromClock + 5), NOW).incarnation(), "the clock was set back");
         assertTrue(restored(PersistentState.NONE, NOW + SECOND).incarnation()
                 > restored(state(7), NOW).incarnation());
     }
 
-    /** Of up to a thousand that restart at once: all send their request by the deadline, and no more a second than allowed. */
+    /** When up to 1000 balancers restart at once, all send their request by the deadline, and no more per second than allowed. */
     @Test
-    void aFleetThatRestartsSpreadsItsRequests() {
+    void spreadsListRequestsOfRestartingFleet() {
         for (int count : new int[] {1, 8, 24, 1000}) {
-            for (long left : new long[] {-3, 0, 1, 5, 9}) {
-                long askBy = NOW + left * SECOND;
-                long[] asked = new long[count];
+            for (long remainingSeconds : new long[] {-3, 0, 1, 5, 9}) {
+                long deadline = NOW + remainingSeconds * SECOND;
+                long[] requestTimes = new long[count];
                 for (int i = 0; i < count; i++) {
-                    asked[i] = RestorePolicy.listRequestTime(NOW, askBy, 10 * SECOND, count, (i + 0.5) / count);
-                    assertTrue(asked[i] >= NOW && asked[i] <= Math.max(askBy, NOW + 2 * SECOND));
+                    requestTimes[i] = RestorePolicy.listRequestTime(NOW, deadline, 10 * SECOND, count, (i + 0.5) / count);
+                    assertTrue(requestTimes[i] >= NOW && requestTimes[i] <= Math.max(deadline, NOW + 2 * SECOND));
                 }
-                Arrays.sort(asked);
-                double bound = Math.max(4, Math.min(count / 2.0, count / Math.max(1.0, (double) left)));
+                Arrays.sort(requestTimes);
+                double maxPerSecond = Math.max(4, Math.min(count / 2.0, count / Math.max(1.0, (double) remainingSeconds)));
                 for (int i = 0; i < count; i++) {
-                    long until = asked[i] + SECOND;
+                    long until = requestTimes[i] + SECOND;
                     assertTrue(
-                            Arrays.stream(asked)
+                            Arrays.stream(requestTimes)
                                             .skip(i)
                                             .takeWhile(t -> t < until)
                                             .count()
-                                    <= Math.ceil(bound) + 1,
-                            count + " " + left);
+                                    <= Math.ceil(maxPerSecond) + 1,
+                            count + " " + remainingSeconds);
                 }
             }
         }
     }
 
     @Test
-    void limitsAreReducedWithTheFleetAlone() {
+    void reducesLimitsOnlyWhereUpstreamsAreFewer() {
         List<LearnedLocality> restored = List.of(
                 LearnedLocality.ofRow(12, 0.2, 0.1, 30, 6),
                 LearnedLocality.ofRow(8, 0.2, 0.1, 30, 4),
--- a/balancer/src/test/java/gorsestack/recovery/StateFileFormatTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/StateFileFormatTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The state file as it stands on a disk. */
+/** Guards against changes of the state file's format, by which an upgrade would lose maintenance orders. Compares files with fixtures. */
 class StateFileFormatTest {
     private static final Fixture CURRENT = new Fixture("state-file.txt");
     private static final Fixture EMPTY = new Fixture("state-file-empty.txt");
@@ -38,25 +38,25 @@
     }
 
     private static PersistentState state() {
-        Map<String, PersistentState.MaintenanceOrder> bans = Map.of(
+        Map<String, PersistentState.MaintenanceOrder> orders = Map.of(
                 "s1",
                 new PersistentState.MaintenanceOrder(PersistentState.NOT_ENDED, NOW - 3),
                 "s \"2\"\n/é€",
                 new PersistentState.MaintenanceOrder(NOW - SECOND, NOW - SECOND + 1));
-        List<LearnedLocality> learnt = List.of(
+        List<LearnedLocality> learned = List.of(
                 LearnedLocality.ofRow(4, 0.2, 0.01, 33), LearnedLocality.ofRow(2e-9, 1e20), LearnedLocality.ofRow());
         return new PersistentState(
                 "n1 é",
                 1_764_000_000_123L,
                 NOW,
-                bans,
-                learnt,
+                orders,
+                learned,
                 NOW - 7,
-                listed(),
+                endpointSnapshot(),
                 new ClockOrigin("0f5e8a52-0000-4000-8000-000000000001", NOW - 12_345));
     }
 
-    private static PersistentState.EndpointSnapshot listed() {
+    private static PersistentState.EndpointSnapshot endpointSnapshot() {
         return new PersistentState.EndpointSnapshot(
                 41,
                 "127.0.0.1:8500",
@@ -67,19 +67,19 @@
     }
 
     @Test
-    void writesTheFixture() throws IOException {
+    void writesStateFileOfFixture() throws IOException {
         store().save(state());
         CURRENT.assertSame(Files.readAllBytes(file()));
     }
 
     @Test
-    void writesTheFixtureOfAnEmptyState() throws IOException {
+    void writesStateFileOfFixtureForEmptyState() throws IOException {
         store().save(PersistentState.NONE);
         EMPTY.assertSame(Files.readAllBytes(file()));
     }
 
     @Test
-    void keepsThePreviousCopyUnchanged() throws IOException {
+    void keepsPreviousCopyAsBackup() throws IOException {
         SnapshotStore store = store();
         store.save(state());
         store.save(PersistentState.NONE);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void readsTheFixture() throws IOException {
+    void readsStateFileOfFixture() throws IOException {
         Files.write(file(), CURRENT.bytes());
         PersistentState read = store().load();
         PersistentState expected = state();
@@ -103,16 +103,16 @@
     }
 
     @Test
-    void writesAgainWhatItRead() throws IOException {
+    void writesSameFileAfterReadingIt() throws IOException {
         Files.write(file(), CURRENT.bytes());
         SnapshotStore store = store();
         store.save(store.load());
         CURRENT.assertSame(Files.readAllBytes(file()));
     }
 
-    /** Version 0.5 wrote this form; the current program reads it and writes its own. */
+    /** Version 0.5 wrote this format. The current version reads it and writes its own. */
     @Test
-    void readsTheFormOfVersion05() throws IOException {
+    void readsStateFileOfVersion05() throws IOException {
         StateCodec.Read read = StateCodec.read(VERSION_0_5.text());
         assertTrue(read.complete(), read.damage());
         assertEquals(
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void writesTheFormOfVersion05AsTheCurrentOne() throws IOException {
+    void writesCurrentFormatAfterReadingVersion05() throws IOException {
         Files.write(file(), VERSION_0_5.input());
         SnapshotStore store = store();
         store.save(store.load());
