--- a/balancer/src/main/java/gorsestack/admin/AdminServer.java
+++ b/balancer/src/main/java/gorsestack/admin/AdminServer.java
@@ -19,34 +19,38 @@
 import java.util.function.Consumer;
 
 /**
- * The operators' HTTP interface, on a listener of its own: health checks, status, tracing, evacuation and maintenance of upstreams. Each
- * connection serves one request. No response depends on another system. On the event loop's thread.
+ * HTTP interface for operators, on a listener of its own: health checks, status, tracing, evacuation and maintenance of upstreams. Each
+ * connection serves one request. No response depends on another system. Created by the server package; used on the event loop's thread.
  */
 public final class AdminServer {
-    /** The operations of the balancer that operators may use. */
+    /** Operations of the balancer that operators can use. Called on the event loop's thread. */
     public interface Balancer {
-        /** Whether the balancer accepts calls. */
+        /** Returns whether the balancer accepts calls. */
         boolean ready();
 
-        /** Whether the endpoint list names this upstream. */
+        /** Returns whether the endpoint list contains the upstream. */
         boolean isListed(String upstream);
 
-        /** An upstream is in maintenance while endedAt is {@link Handover#NOT_ENDED}, else it is back in service since then. */
+        /**
+         * Puts an upstream into maintenance or back into service.
+         *
+         * @param endedAt time at which the upstream was put back into service, or {@link Handover#NOT_ENDED} while it is in maintenance
+         */
         void setMaintenance(String upstream, long endedAt);
 
-        /** The status report; null if there is none. */
+        /** Returns the status report; null if there is none. */
         default ObjectNode status() {
             return null;
         }
 
-        /** Logs each step of each call, or no longer. */
+        /** Starts or stops logging of each step of each call. */
         default void trace(boolean on) {}
 
-        /** Sends clients to other balancers, or accepts them again. */
+        /** Starts to send clients to other balancers, or accepts them again. */
         void evacuate(boolean evacuating);
     }
 
-    /** What a PUT request does; its response may be given later. */
+    /** Operation of a PUT request; its response may be given later. */
     private interface Command {
         void run(Consumer<Response> respond);
     }
@@ -64,33 +68,37 @@
     private final Balancer balancer;
     private Handover handover;
     private long incarnation;
-    /** Maintenance orders given to any process of this balancer: NOT_ENDED, or when the upstream was put back into service. */
+    /**
+     * Maintenance orders given to any process of this balancer, by upstream: NOT_ENDED, or the time at which the upstream was put back into
+     * service.
+     */
     private final Map<String, Long> maintenance = new HashMap<>();
 
+    /** Open connections in the order in which they were opened. */
     private final Set<Connection> connections = new LinkedHashSet<>();
 
-    /** Creates a server that accepts no connection yet; {@code balancer} carries out what operators ask for. */
+    /** Creates a server without connections; {@code balancer} carries out the operators' commands. */
     public AdminServer(Limits limits, EventLoop eventLoop, Balancer balancer) {
         this.limits = limits;
         this.eventLoop = eventLoop;
         this.balancer = balancer;
     }
 
-    /** Stores maintenance orders there; to be called before the first request. */
+    /** Sets the handover that stores maintenance orders; must be called before the first request. */
     public void storeOrdersIn(Handover store) {
         handover = store;
     }
 
-    /** The handler of a new connection. */
+    /** Returns a handler for a new connection. */
     public ConnectionHandler newConnection() {
         return new Connection();
     }
 
-    /** Applies a maintenance order that was given here or to another process of this balancer. */
+    /** Applies a maintenance order that was given to this process or to another process of this balancer. */
     public void applyOrder(String upstream, long endedAt) {
         if (!Long.valueOf(endedAt).equals(maintenance.put(upstream, endedAt))) {
-            boolean out = endedAt == Handover.NOT_ENDED;
-            LOG.log(System.Logger.Level.INFO, "maintenance upstream={0} active={1}", upstream, out);
+            boolean inMaintenance = endedAt == Handover.NOT_ENDED;
+            LOG.log(System.Logger.Level.INFO, "maintenance upstream={0} active={1}", upstream, inMaintenance);
             balancer.setMaintenance(upstream, endedAt);
         }
     }
@@ -162,15 +170,15 @@
         };
     }
 
-    /** The command of a target /upstreams/ID/maint or /upstreams/ID/ready. */
+    /** Returns the command for a target /upstreams/ID/maint or /upstreams/ID/ready; empty for any other target. */
     private Optional<Command> maintenanceCommand(String target) {
         String[] parts = target.split("/", -1);
         if (parts.length != 4 || !parts[0].isEmpty() || !parts[1].equals("upstreams")) {
             return Optional.empty();
         }
         return switch (parts[3]) {
-            case "maint" -> Optional.of(respond -> maintain(parts[2], true, respond));
-            case "ready" -> Optional.of(respond -> maintain(parts[2], false, respond));
+            case "maint" -> Optional.of(respond -> handleMaintenance(parts[2], true, respond));
+            case "ready" -> Optional.of(respond -> handleMaintenance(parts[2], false, respond));
             default -> Optional.empty();
         };
     }
@@ -187,38 +195,41 @@
         return response(true, enabled ? "clients are sent away" : "back to work");
     }
 
-    private void maintain(String encodedId, boolean out, Consumer<Response> respond) {
+    private void handleMaintenance(String encodedId, boolean maintenanceOrdered, Consumer<Response> respond) {
         String id;
         try {
-            // Unlike in a query, a plus in a path is a plus.
+            // URLDecoder decodes a plus as a space, which is correct in a query but not in a path.
             id = URLDecoder.decode(encodedId.replace("+", "%2B"), StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
             respond.accept(Response.own(BAD_REQUEST, "", "an id that cannot be read"));
             return;
         }
-        boolean isOut = maintenance.getOrDefault(id, 0L) == Handover.NOT_ENDED;
-        if (!isOut && !balancer.isListed(id)) {
+        boolean inMaintenance = maintenance.getOrDefault(id, 0L) == Handover.NOT_ENDED;
+        if (!inMaintenance && !balancer.isListed(id)) {
             respond.accept(notFound("no such upstream"));
-        } else if (out == isOut) {
-            String text = out ? "out already" : "was not out";
+        } else if (maintenanceOrdered == inMaintenance) {
+            String text = maintenanceOrdered ? "out already" : "was not out";
             handover.confirmSaved(saved -> respond.accept(acknowledgement(saved, text)));
         } else {
-            long endedAt = out ? Handover.NOT_ENDED : eventLoop.now();
-            String text = out ? "out" : "back";
+            long endedAt = maintenanceOrdered ? Handover.NOT_ENDED : eventLoop.now();
+            String text = maintenanceOrdered ? "out" : "back";
             applyOrder(id, endedAt);
             handover.order(id, endedAt, saved -> respond.accept(acknowledgement(saved, text)));
         }
     }
 
-    /** An order that a restart would lose is not acknowledged, though it is in force meanwhile and writing it is retried. */
+    /**
+     * Returns the response to a maintenance order. An order that is not on the disk gets an error response, as a restart would lose it; it
+     * applies nevertheless, and the write is retried.
+     */
     private static Response acknowledgement(boolean saved, String text) {
         String retry = ", but not kept yet: a restart would forget it; writing is tried again, ask again";
         return response(saved, saved ? text : text + retry);
     }
 
     /**
-     * One connection of an operator. A client that stays silent or sends half a request is disconnected after a timeout, or when too many
-     * are connected, so that stuck clients do not block others.
+     * Connection of an operator. It is closed after a timeout if its request is still incomplete, and earlier if it is the oldest of too
+     * many connections, so that unresponsive clients do not block others.
      */
     private final class Connection implements ConnectionHandler {
         private final HttpParser parser = HttpParser.request(limits);
@@ -242,7 +253,7 @@
         }
 
         @Override
-        public void received(byte[] bytes, long at) {
+        public void received(byte[] bytes, long receivedAt) {
             if (requestHandled) {
                 return;
             }
--- a/balancer/src/main/java/gorsestack/admin/Handover.java
+++ b/balancer/src/main/java/gorsestack/admin/Handover.java
@@ -21,44 +21,52 @@
 import java.util.function.Consumer;
 
 /**
- * Shares state between two processes of one balancer during an upgrade: maintenance orders, learned state and the endpoint snapshot, in a
- * file, and the presence of the other process, by file locks. Its work is done on one thread of its own, never on the event loop's.
+ * Shares state between two processes of one balancer during an upgrade. Maintenance orders, learned state and the endpoint snapshot are in
+ * a shared file; file locks show whether another process runs. Created by the server package. All file access is done on a separate
+ * thread, never on the event loop's thread.
  */
 public final class Handover {
-    /** Receives changes made by other processes, and supplies this process's state. Called on the event loop's thread. */
+    /** Receives changes by other processes, and provides the state of this process. Called on the event loop's thread. */
     public interface Listener {
-        /** An operator ordered maintenance in any process: when the upstream was put back into service, or NOT_ENDED. */
+        /**
+         * Called when an operator has given a maintenance order to any process of this balancer.
+         *
+         * @param endedAt time at which the upstream was put back into service, or NOT_ENDED while it is in maintenance
+         */
         void onMaintenanceOrder(String upstream, long endedAt);
 
-        /** Whether another process of this balancer runs, and whether it accepts clients. */
+        /** Called when another process of this balancer starts or ends, or starts or stops accepting clients. */
         void otherProcessChanged(boolean otherRuns, boolean otherAccepts);
 
-        /** What this process has learned, by locality. */
+        /** Returns the learned state of this process, by locality. */
         List<LearnedLocality> exportLearned();
 
-        /** What the predecessor of this process has learned. */
+        /** Called with the learned state of this process's predecessor. */
         void restoreLearned(List<LearnedLocality> learned);
 
-        /** All maintenance orders, after each change. */
+        /** Called with all maintenance orders after each change. */
         default void ordersChanged(Map<String, PersistentState.MaintenanceOrder> orders) {}
 
-        /** The endpoint snapshot for the next process; null where it is not retained, or none was confirmed yet. */
+        /** Returns the endpoint snapshot for the next process; null if it is not stored, or if no list was confirmed yet. */
         default PersistentState.EndpointSnapshot endpointSnapshot() {
             return null;
         }
     }
 
-    /** The value of a maintenance order's end while the upstream is still in maintenance. */
+    /** Value of a maintenance order's end while the upstream is in maintenance. */
     public static final long NOT_ENDED = PersistentState.NOT_ENDED;
 
     private static final System.Logger LOG = System.getLogger("gorsestack.handover");
-    /** A tenth of the shortest usual shutdown grace period, 2 s. */
+    /** Interval between checks for other processes, in milliseconds; a tenth of the shortest usual shutdown grace period, 2 s. */
     private static final long CHECK_INTERVAL_MS = 200;
-    /** Prevents a disk write for each endpoint update of a release; a snapshot is on the disk at most a second late. */
+    /**
+     * Interval between snapshots in milliseconds. Prevents a disk write for each endpoint update of a release; a snapshot is on the disk at
+     * most a second late.
+     */
     private static final long SNAPSHOT_INTERVAL_MS = 1_000;
     /**
-     * An unchanged endpoint snapshot is written again this often, with the time of its last confirmation. Learned state decays by a third
-     * in this time where the slow start takes 20 s.
+     * Interval in nanoseconds at which an unchanged endpoint snapshot is written again, with the time of its last confirmation. Learned
+     * state decays by a third in this time where the slow start takes 20 s.
      */
     private static final long UNCHANGED_SNAPSHOT_INTERVAL_NANOS = 2_000_000_000L;
 
@@ -77,19 +85,26 @@
     private boolean otherProcessAccepts;
     private boolean successorRuns;
     private boolean awaitsPredecessorState;
+    /** Time of the last snapshot; before the first one, a time long ago that does not overflow in sums. */
     private long snapshotWrittenAt = Long.MIN_VALUE / 2;
     private volatile boolean accepting;
     private volatile boolean successorAccepts;
 
-    /** In a folder that both processes see. The name distinguishes this balancer from others that use the folder. */
-    public Handover(Path folder, String name, boolean lasting, EventLoop eventLoop, Listener listener) {
+    /**
+     * Loads the shared state and takes a slot in the lock file, which is retried if it fails.
+     *
+     * @param folder folder that both processes use
+     * @param name name that distinguishes this balancer from others that use the folder
+     * @param durable whether the state must survive a crash of the host, not only of the process
+     */
+    public Handover(Path folder, String name, boolean durable, EventLoop eventLoop, Listener listener) {
         this.eventLoop = eventLoop;
         this.listener = listener;
         this.name = name;
         ClockOrigin clock = ClockOrigin.here(eventLoop.now());
         presence = new ProcessPresence(folder.resolve(fileName(name) + ".lock"));
         orders = new MaintenanceOrders(eventLoop, listener);
-        SnapshotStore store = store(folder, name, lasting, clock);
+        SnapshotStore store = store(folder, name, durable, clock);
         file = new SharedStateFile(name, store, clock, presence, orders, eventLoop, this::restoreLearned);
         try {
             presence.open();
@@ -106,20 +121,20 @@
     }
 
     /**
-     * The store of a balancer's state.
+     * Returns the store of a balancer's state.
      *
-     * @param lasting whether the state must survive a crash of the machine, not only of the process
+     * @param durable whether the state must survive a crash of the host, not only of the process
      */
-    public static SnapshotStore store(Path folder, String name, boolean lasting, ClockOrigin clock) {
+    public static SnapshotStore store(Path folder, String name, boolean durable, ClockOrigin clock) {
         return new SnapshotStore(
                 new FileStorage(folder),
                 fileName(name) + ".state",
-                lasting,
+                durable,
                 warning -> LOG.log(System.Logger.Level.WARNING, "{0}", warning),
                 clock);
     }
 
-    /** Runs a periodic task. Without this the scheduler silently cancels a task at its first exception. */
+    /** Runs a periodic task and logs what it throws. Without this, the scheduler silently cancels a task at its first exception. */
     private static void guarded(String task, Runnable run) {
         try {
             run.run();
@@ -128,10 +143,10 @@
         }
     }
 
-    /** Writes the endpoint snapshot and learned state periodically from now on, for a process that starts after this one has ended. */
+    /** Starts to write the endpoint snapshot and learned state periodically, for a process that starts after this one has ended. */
     public void startSnapshots(long incarnation) {
         thread.execute(() -> file.raiseIncarnation(incarnation));
-        // The jitter prevents that the processes of a fleet started at once on one disk write at the same moments.
+        // The jitter prevents a fleet that is started at once on one disk from writing at the same moments.
         double jitter = new SeededRandom(incarnation ^ name.hashCode()).next();
         long firstDelay = SNAPSHOT_INTERVAL_MS / 2 + (long) (SNAPSHOT_INTERVAL_MS * jitter);
         thread.scheduleWithFixedDelay(
@@ -163,14 +178,14 @@
         }
     }
 
-    /** Whether another process of this balancer ran when this one started. */
+    /** Returns whether another process of this balancer was running when this one started. */
     public boolean hasPredecessor() {
         return otherProcessRuns;
     }
 
     /**
-     * Whether a later process of this balancer accepts clients. Checks again before it returns, as this process may be asked to shut down
-     * a moment after the other one opened its listener, before the next periodic check.
+     * Returns whether a later process of this balancer accepts clients. Waits for a new check on the handover's thread, for at most 200 ms,
+     * as this process may be asked to shut down just after the other one has opened its listener, before the next periodic check.
      */
     public boolean successorAccepts() {
         try {
@@ -183,7 +198,7 @@
         return successorAccepts;
     }
 
-    /** Checks periodically for other processes of this balancer from now on. */
+    /** Starts to check periodically for other processes of this balancer. */
     public void start() {
         awaitsPredecessorState = true;
         thread.scheduleWithFixedDelay(
@@ -193,7 +208,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** This process accepts clients from now on. */
+    /** Records that this process accepts clients from now on. */
     public void startAccepting() {
         accepting = true;
         if (presence.isOpen()) {
@@ -205,7 +220,7 @@
         }
     }
 
-    /** This process accepts no clients any more. */
+    /** Records that this process accepts no more clients. */
     public void stopAccepting() {
         accepting = false;
         try {
@@ -247,11 +262,15 @@
             exportLearned();
         }
         successorRuns = runs;
-        // A successor that runs but does not accept clients yet must not be left alone with them.
+        // While the successor does not accept clients yet, this process has to serve them.
         successorAccepts = runs && presence.successorAccepts();
     }
 
-    /** Retries a lock file that was not accessible at the start. */
+    /**
+     * Retries to open a lock file that could not be opened at the start.
+     *
+     * @return whether the lock file is open now
+     */
     private boolean reopened() {
         try {
             presence.open();
@@ -265,7 +284,7 @@
         }
     }
 
-    /** Writes what this process has learned, for a successor that has just started. */
+    /** Writes the learned state of this process for a successor that has just started. */
     private void exportLearned() {
         eventLoop.execute(() -> {
             List<LearnedLocality> learned = listener.exportLearned();
@@ -274,8 +293,8 @@
     }
 
     /**
-     * Hands learned state of a running predecessor to the listener, once. The conditions exclude state of an earlier upgrade, read before
-     * the predecessor has noticed this process, and state read again later on.
+     * Passes the learned state of a running predecessor to the listener, once. The conditions exclude state of an earlier upgrade, which is
+     * read before the predecessor has detected this process, and state that is read again later.
      */
     private void restoreLearned() {
         if (awaitsPredecessorState
@@ -288,7 +307,7 @@
         }
     }
 
-    /** Maintenance orders that a peer has replicated for this balancer, which may have lost its own copy. */
+    /** Restores maintenance orders that a peer has stored for this balancer, which may have lost its own copy. */
     public void restoreOrders(Map<String, PersistentState.MaintenanceOrder> replicated) {
         thread.execute(() -> {
             Map<String, PersistentState.MaintenanceOrder> unknown = orders.unknownAmong(replicated);
@@ -300,7 +319,7 @@
         });
     }
 
-    /** Raises this process's incarnation past one that a peer remembers. */
+    /** Raises the incarnation of this process above one that a peer has seen. */
     public void raiseIncarnation(long incarnation) {
         thread.execute(() -> {
             file.raiseIncarnation(incarnation);
@@ -309,10 +328,11 @@
     }
 
     /**
-     * Records a maintenance order, then reports whether it is on the disk, so that no operator gets an acknowledgement that a crash of
-     * this process would undo. An order that is not on the disk is written again until it is.
+     * Records a maintenance order, then reports whether it is on the disk. Without this, an operator could get an acknowledgement of an
+     * order that is lost when this process crashes. A failed write is retried until the order is on the disk.
      *
-     * @param endedAt when the upstream was put back into service, or NOT_ENDED
+     * @param endedAt time at which the upstream was put back into service, or NOT_ENDED
+     * @param onSaved called on the event loop's thread with whether the order is on the disk
      */
     public void order(String upstream, long endedAt, Consumer<Boolean> onSaved) {
         long now = eventLoop.now();
@@ -326,7 +346,7 @@
         });
     }
 
-    /** Reports whether all maintenance orders are on the disk, after one more attempt if they are not. */
+    /** Reports whether all maintenance orders are on the disk. If they are not, the write is retried once first. */
     public void confirmSaved(Consumer<Boolean> onSaved) {
         thread.execute(() -> {
             if (orders.unsaved()) {
--- a/balancer/src/main/java/gorsestack/admin/MaintenanceOrders.java
+++ b/balancer/src/main/java/gorsestack/admin/MaintenanceOrders.java
@@ -7,18 +7,26 @@
 import java.util.TreeMap;
 
 /**
- * The operators' maintenance orders as this process knows them, and whether all of them are on the disk. Of two orders for one upstream
- * the later one holds, whichever process received it. Changed on the handover's thread; the listener is called on the event loop's.
+ * Maintenance orders of the operators that this process knows, and whether all of them are on the disk. Of two orders for one upstream the
+ * later one applies, whichever process received it. Used by {@link Handover} and {@link SharedStateFile} on the handover's thread; calls
+ * the listener on the event loop's thread.
  */
 final class MaintenanceOrders {
-    /** Times received from peers are computed from ages, so the same order may differ by the time of its delivery. */
+    /**
+     * Difference in nanoseconds up to which the times of two copies count as those of the same order. Times received from peers are
+     * computed from ages, so they differ by the delay of the network.
+     */
     private static final long SAME_ORDER_TOLERANCE_NANOS = 1_000_000_000L;
-    /** An upstream that was put back into service this long ago has finished its slow start. */
+    /**
+     * Time in nanoseconds for which the order of an upstream that was put back into service is stored. The upstream has finished its slow
+     * start by then.
+     */
     private static final long RETENTION_NANOS = 600_000_000_000L;
 
     private final EventLoop eventLoop;
     private final Handover.Listener listener;
     private Map<String, MaintenanceOrder> orders = new TreeMap<>();
+    /** Whether an order may be missing on the disk. */
     private volatile boolean unsaved;
 
     MaintenanceOrders(EventLoop eventLoop, Handover.Listener listener) {
@@ -26,12 +34,12 @@
         this.listener = listener;
     }
 
-    /** All orders by upstream; a view of the current state. */
+    /** Returns the current orders by upstream, without copying them. */
     Map<String, MaintenanceOrder> all() {
         return orders;
     }
 
-    /** Whether an order may be missing on the disk. */
+    /** Returns whether an order may be missing on the disk. */
     boolean unsaved() {
         return unsaved;
     }
@@ -44,35 +52,35 @@
         unsaved = false;
     }
 
-    /** Records an order; one that repeats the current order changes nothing. */
+    /** Records an order. An order that repeats the current one changes nothing. */
     void put(String upstream, long endedAt, long orderedAt) {
         MaintenanceOrder current = orders.get(upstream);
         if (current == null || current.endedAt() != endedAt) {
-            // Later than the order it replaces even if the clock of the process that received that one ran ahead.
+            // The new order must be the later one even if the clock of the process that received the current order runs ahead.
             long laterThanCurrent = current == null ? orderedAt : Math.max(orderedAt, current.orderedAt() + 1);
             orders.put(upstream, new MaintenanceOrder(endedAt, laterThanCurrent));
         }
     }
 
-    /** Takes orders of another copy that are later than those known here, and reports what changed. */
-    void merge(Map<String, MaintenanceOrder> found) {
-        Map<String, MaintenanceOrder> before = orders;
-        orders = new TreeMap<>(PersistentState.merged(orders, found));
-        if (!orders.equals(before)) {
+    /** Merges the orders of another copy, of which the later ones replace the current ones, and notifies the listener of changes. */
+    void merge(Map<String, MaintenanceOrder> others) {
+        Map<String, MaintenanceOrder> previous = orders;
+        orders = new TreeMap<>(PersistentState.merged(orders, others));
+        if (!orders.equals(previous)) {
             notifyOfAll();
         }
         orders.forEach((upstream, order) -> {
-            if (!before.containsKey(upstream) || before.get(upstream).endedAt() != order.endedAt()) {
-                // A time ahead of this clock would leave the upstream in slow start until the clock reaches it.
-                long back = order.endedAt() == Handover.NOT_ENDED
+            if (!previous.containsKey(upstream) || previous.get(upstream).endedAt() != order.endedAt()) {
+                // With a time in the future, the upstream would stay in slow start until the clock reaches that time.
+                long endedAt = order.endedAt() == Handover.NOT_ENDED
                         ? Handover.NOT_ENDED
                         : Math.min(order.endedAt(), eventLoop.now());
-                eventLoop.execute(() -> listener.onMaintenanceOrder(upstream, back));
+                eventLoop.execute(() -> listener.onMaintenanceOrder(upstream, endedAt));
             }
         });
     }
 
-    /** Those of a peer's orders that differ from the ones known here. */
+    /** Returns the orders of a peer's copy that differ from the ones known here. */
     Map<String, MaintenanceOrder> unknownAmong(Map<String, MaintenanceOrder> received) {
         Map<String, MaintenanceOrder> unknown = new TreeMap<>(received);
         unknown.entrySet().removeIf(entry -> isSameOrder(orders.get(entry.getKey()), entry.getValue()));
@@ -85,13 +93,13 @@
                 && Math.abs(known.orderedAt() - received.orderedAt()) < SAME_ORDER_TOLERANCE_NANOS;
     }
 
-    /** Forgets upstreams that have been back in service for long. */
+    /** Removes the orders of upstreams that were put back into service longer ago than the retention time. */
     void removeExpired(long now) {
         orders.values()
                 .removeIf(order -> order.endedAt() != Handover.NOT_ENDED && order.endedAt() < now - RETENTION_NANOS);
     }
 
-    /** Reports all orders to the listener. */
+    /** Notifies the listener of all orders. */
     void notifyOfAll() {
         Map<String, MaintenanceOrder> all = Map.copyOf(orders);
         eventLoop.execute(() -> listener.ordersChanged(all));
--- a/balancer/src/main/java/gorsestack/admin/ProcessPresence.java
+++ b/balancer/src/main/java/gorsestack/admin/ProcessPresence.java
@@ -8,21 +8,26 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Which processes of one balancer run and which of them accept clients, as locks on byte ranges of a file that stays empty. The operating
- * system releases the locks of a process that ends, however it ends.
+ * Shows which processes of one balancer run and which of them accept clients, by locks on byte ranges of a file that stays empty. The
+ * operating system releases the locks of a process when it ends, even after a crash. Used by {@link Handover}, mostly on the handover's
+ * thread.
  *
- * <p>Each process owns a slot of two bytes, in the order of their starts: the first is locked while the process runs, the second while it
- * accepts clients. One byte past all slots is the mutual exclusion for writes to the shared state file.
+ * <p>Each process owns a slot of two bytes, in the order in which the processes started. The first byte is locked while the process runs,
+ * the second one while it accepts clients. One byte behind all slots is a mutex for writes to the shared state file.
  */
 final class ProcessPresence {
     private static final long SLOT_BYTES = 2;
+    /** Offset of the end of all slots in the lock file. */
     private static final long SLOTS_END = 1L << 40;
+    /** Offset of the byte that is locked during writes to the shared state file. */
     private static final long WRITE_LOCK = SLOTS_END;
-    /** How many bytes of slots before and after this process's own are searched for a process that accepts clients. */
+    /** Number of bytes before and after this process's slot that are searched for a process that accepts clients. */
     private static final long SEARCHED_BYTES = 16;
 
     private final Path lockFile;
-    private volatile FileChannel locks;
+    /** Channel of the lock file; null until it is open. */
+    private volatile FileChannel lockChannel;
+    /** Offset of this process's slot in the lock file. */
     private long slot;
     private FileLock acceptingLock;
 
@@ -30,53 +35,57 @@
         this.lockFile = lockFile;
     }
 
-    /** Opens the lock file and takes the next slot. */
+    /** Opens the lock file and locks the next free slot for this process. */
     void open() throws IOException {
         FileChannel channel = FileChannel.open(
                 lockFile, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
-        locks = channel;
-        // Without the write lock two processes that start at once would take the same slot.
+        lockChannel = channel;
+        // Without the write lock, two processes that start at once would take the same slot.
         try (FileLock writing = lockForWriting()) {
             slot = firstFreeSlot();
-            locks.lock(slot, 1, false);
+            lockChannel.lock(slot, 1, false);
         } catch (IOException e) {
-            locks = null;
+            lockChannel = null;
             channel.close();
             throw e;
         }
     }
 
     boolean isOpen() {
-        return locks != null;
+        return lockChannel != null;
     }
 
-    /** Excludes all other processes of this balancer until it is closed. */
+    /** Locks the shared state file against writes of all other processes of this balancer, until the returned lock is closed. */
     FileLock lockForWriting() throws IOException {
-        return locks.lock(WRITE_LOCK, 1, false);
+        return lockChannel.lock(WRITE_LOCK, 1, false);
     }
 
+    /** Returns whether a process that started earlier runs. */
     boolean predecessorRuns() {
         return slot > 0 && isLocked(0, slot);
     }
 
+    /** Returns whether a process that started later runs. */
     boolean successorRuns() {
         return isLocked(nextSlot(), SLOTS_END);
     }
 
+    /** Returns whether a process that started earlier accepts clients. */
     boolean predecessorAccepts() {
         return anyAccepts(Math.max(0, slot - SEARCHED_BYTES), slot);
     }
 
+    /** Returns whether a process that started later accepts clients. */
     boolean successorAccepts() {
         return anyAccepts(nextSlot(), slot + SEARCHED_BYTES);
     }
 
-    /** This process accepts clients from now on. */
+    /** Shows other processes that this process accepts clients from now on. */
     void lockAccepting() throws IOException {
-        acceptingLock = locks.lock(slot + 1, 1, false);
+        acceptingLock = lockChannel.lock(slot + 1, 1, false);
     }
 
-    /** This process accepts no clients any more. */
+    /** Shows other processes that this process accepts no more clients. */
     void releaseAccepting() throws IOException {
         if (acceptingLock != null) {
             acceptingLock.release();
@@ -87,7 +96,7 @@
         return slot + SLOT_BYTES;
     }
 
-    /** The first slot from which on none is taken. */
+    /** Returns the offset of the first slot behind all locked ones. */
     private long firstFreeSlot() throws IOException {
         long low = 0;
         long high = SLOTS_END;
@@ -102,20 +111,20 @@
         return low + low % SLOT_BYTES;
     }
 
-    private boolean anyAccepts(long from, long to) {
-        for (long candidate = from; candidate < to; candidate += SLOT_BYTES) {
-            if (isLocked(candidate + 1, candidate + SLOT_BYTES)) {
+    private boolean anyAccepts(long start, long end) {
+        for (long otherSlot = start; otherSlot < end; otherSlot += SLOT_BYTES) {
+            if (isLocked(otherSlot + 1, otherSlot + SLOT_BYTES)) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean isLocked(long from, long to) {
-        try (FileLock lock = locks.tryLock(from, to - from, false)) {
+    private boolean isLocked(long start, long end) {
+        try (FileLock lock = lockChannel.tryLock(start, end - start, false)) {
             return lock == null;
         } catch (OverlappingFileLockException e) {
-            return true; // held by this process
+            return true; // The lock is held by this process.
         } catch (IOException e) {
             return false;
         }
--- a/balancer/src/main/java/gorsestack/admin/SharedStateFile.java
+++ b/balancer/src/main/java/gorsestack/admin/SharedStateFile.java
@@ -10,8 +10,9 @@
 import java.util.List;
 
 /**
- * The state file that all processes of one balancer read and write: maintenance orders, learned state and the endpoint snapshot. A write
- * merges the file first, under a lock, so no process overwrites what another one added. Used on the handover's thread.
+ * State file that all processes of one balancer read and write. It holds maintenance orders, learned state and the endpoint snapshot. A
+ * write first merges the content of the file, under a lock, so that no process overwrites changes of another one. Used by {@link Handover}
+ * on the handover's thread.
  */
 final class SharedStateFile {
     private static final System.Logger LOG = System.getLogger("gorsestack.handover");
@@ -28,7 +29,7 @@
     private PersistentState.EndpointSnapshot endpointSnapshot;
     private long incarnation;
 
-    /** @param onMerged called each time the state of another copy was merged */
+    /** @param onMerged called each time after the state of another copy was merged */
     SharedStateFile(
             String balancerName,
             SnapshotStore store,
@@ -50,7 +51,7 @@
         return learned;
     }
 
-    /** Learned state of this process, as of the given time. */
+    /** Sets the learned state that is written next, with the time at which it was exported. */
     void setLearned(List<LearnedLocality> exported, long exportedAt) {
         learned = exported;
         learnedAt = exportedAt;
@@ -64,12 +65,16 @@
         endpointSnapshot = snapshot;
     }
 
-    /** An incarnation never decreases; an endpoint snapshot of a lower one is ignored. */
-    void raiseIncarnation(long atLeast) {
-        incarnation = Math.max(incarnation, atLeast);
+    /** Raises the incarnation, which never decreases. An endpoint snapshot of a lower incarnation is ignored. */
+    void raiseIncarnation(long minIncarnation) {
+        incarnation = Math.max(incarnation, minIncarnation);
     }
 
-    /** Merges the file, applies a change and writes the result, all under the lock. Whether it is on the disk. */
+    /**
+     * Merges the content of the file, applies a change and writes the result, all under the lock.
+     *
+     * @return whether the result is on the disk
+     */
     boolean update(Runnable change) {
         if (!presence.isOpen()) {
             return false;
@@ -90,7 +95,7 @@
             orders.markSaved();
             return true;
         } catch (IOException e) {
-            // The store has logged the first failure at a higher level.
+            // The store has logged the first of consecutive failures as a warning.
             LOG.log(System.Logger.Level.DEBUG, "shared_state_write_failed error={0}", e.toString());
             return false;
         } catch (RuntimeException e) {
@@ -99,34 +104,38 @@
         }
     }
 
-    /** Writes the current state. Whether it is on the disk. */
+    /**
+     * Writes the current state.
+     *
+     * @return whether the state is on the disk
+     */
     boolean save() {
         return update(() -> {});
     }
 
-    /** Merges the file if another process has changed it. */
+    /** Merges the content of the file if another process has changed it. */
     void refresh() {
         if (store.changed()) {
             merge(store.load());
         }
     }
 
-    /** Merges the file as it is. */
+    /** Merges the content of the file. */
     void load() {
         merge(store.load());
     }
 
-    /** Takes what is later than the state held here. */
-    void merge(PersistentState found) {
-        orders.merge(found.maintenanceOrders());
-        if (found.learnedAt() > learnedAt) {
-            learned = found.learned();
-            learnedAt = found.learnedAt();
+    /** Merges the state of another copy: each part that is later replaces the one held here. */
+    void merge(PersistentState other) {
+        orders.merge(other.maintenanceOrders());
+        if (other.learnedAt() > learnedAt) {
+            learned = other.learned();
+            learnedAt = other.learnedAt();
         }
-        if (found.incarnation() > incarnation || endpointSnapshot == null) {
-            endpointSnapshot = found.endpointSnapshot();
+        if (other.incarnation() > incarnation || endpointSnapshot == null) {
+            endpointSnapshot = other.endpointSnapshot();
         }
-        raiseIncarnation(found.incarnation());
+        raiseIncarnation(other.incarnation());
         onMerged.run();
     }
 }
--- a/balancer/src/test/java/gorsestack/admin/AdminRepliesFormatTest.java
+++ b/balancer/src/test/java/gorsestack/admin/AdminRepliesFormatTest.java
@@ -20,12 +20,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whole replies of the operators' listener: status line, headers and body, with line ends made visible. */
+/**
+ * Guards against changes of the admin interface's responses, which operators' tools parse. Compares complete responses (status line,
+ * headers and body, with visible line ends) with fixtures.
+ */
 class AdminRepliesFormatTest {
     private static final Fixture GOOD = new Fixture("admin-replies-good.txt");
     private static final Fixture BAD = new Fixture("admin-replies-bad.txt");
-    private static final Fixture NOT_KEPT = new Fixture("admin-replies-not-kept.txt");
-    private static final String UPSTREAM = "PUT /upstreams/s%2F1%20%C3%A9+/";
+    private static final Fixture NOT_WRITTEN = new Fixture("admin-replies-not-kept.txt");
+    private static final String UPSTREAM_COMMAND = "PUT /upstreams/s%2F1%20%C3%A9+/";
     private static final int TIMEOUT_MS = 10_000;
 
     @TempDir
@@ -34,13 +37,13 @@
     private final EventLoopThread eventLoop = new EventLoopThread();
     private InetSocketAddress address;
 
-    /** A balancer that knows one upstream and is ready unless clients are sent away. */
+    /** Balancer that has one upstream in its endpoint list, and is ready except during an evacuation. */
     private static final class StubBalancer implements AdminServer.Balancer {
-        private volatile boolean away;
+        private volatile boolean evacuating;
 
         @Override
         public boolean ready() {
-            return !away;
+            return !evacuating;
         }
 
         @Override
@@ -49,7 +52,7 @@
         }
 
         @Override
-        public void setMaintenance(String upstream, long back) {}
+        public void setMaintenance(String upstream, long endedAt) {}
 
         @Override
         public ObjectNode status() {
@@ -57,18 +60,18 @@
         }
 
         @Override
-        public void evacuate(boolean isAway) {
-            away = isAway;
+        public void evacuate(boolean enabled) {
+            evacuating = enabled;
         }
     }
 
-    /** A handover listener that ignores all it is told. */
+    /** Handover listener that ignores all notifications. */
     private static final class StubListener implements Handover.Listener {
         @Override
-        public void onMaintenanceOrder(String upstream, long back) {}
+        public void onMaintenanceOrder(String upstream, long endedAt) {}
 
         @Override
-        public void otherProcessChanged(boolean another, boolean open) {}
+        public void otherProcessChanged(boolean otherRuns, boolean otherAccepts) {}
 
         @Override
         public List<LearnedLocality> exportLearned() {
@@ -83,35 +86,35 @@
     void start() throws IOException {
         ObjectMapper json = new ObjectMapper();
         Limits limits = Limits.of(json.readTree("{\"sockets\":1024}"), json.readTree("{}"));
-        AdminServer management = new AdminServer(limits, eventLoop, new StubBalancer());
-        management.incarnation(17);
-        management.storeOrdersIn(new Handover(folder, "n1", false, eventLoop, new StubListener()));
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            address = new InetSocketAddress(any.getInetAddress(), any.getLocalPort());
+        AdminServer adminServer = new AdminServer(limits, eventLoop, new StubBalancer());
+        adminServer.incarnation(17);
+        adminServer.storeOrdersIn(new Handover(folder, "n1", false, eventLoop, new StubListener()));
+        try (ServerSocket freePort = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            address = new InetSocketAddress(freePort.getInetAddress(), freePort.getLocalPort());
         }
         new MinaNetwork(limits, eventLoop)
-                .listenSeparately(address, limits.admin().maxConnections() + 4, management::newConnection);
+                .listenSeparately(address, limits.admin().maxConnections() + 4, adminServer::newConnection);
     }
 
     private String exchange(String title, String request) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
-            String reply = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            return "== " + title + "\n" + reply.replace("\r", "\\r") + "\n";
+            String response = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            return "== " + title + "\n" + response.replace("\r", "\\r") + "\n";
         }
     }
 
     private String calls(String... calls) throws IOException {
-        StringBuilder replies = new StringBuilder();
+        StringBuilder responses = new StringBuilder();
         for (String call : calls) {
-            replies.append(exchange(call, call + " HTTP/1.1\r\nHost: x\r\n\r\n"));
+            responses.append(exchange(call, call + " HTTP/1.1\r\nHost: x\r\n\r\n"));
         }
-        return replies.toString();
+        return responses.toString();
     }
 
     @Test
-    void answersEachCommand() throws IOException {
+    void respondsToEachCommand() throws IOException {
         GOOD.assertSame(calls(
                 "GET /healthcheck",
                 "GET /status",
@@ -122,16 +125,16 @@
                 "GET /healthcheck",
                 "PUT /trace/on",
                 "PUT /trace/off",
-                UPSTREAM + "ready",
-                UPSTREAM + "maint",
-                UPSTREAM + "maint",
+                UPSTREAM_COMMAND + "ready",
+                UPSTREAM_COMMAND + "maint",
+                UPSTREAM_COMMAND + "maint",
                 "GET /status",
-                UPSTREAM + "ready",
+                UPSTREAM_COMMAND + "ready",
                 "GET /status"));
     }
 
     @Test
-    void answersBadInput() throws IOException {
+    void respondsToInvalidRequests() throws IOException {
         BAD.assertSame(calls(
                         "PUT /healthcheck",
                         "GET /healthcheck/fail",
@@ -150,13 +153,13 @@
                 + exchange("HTTP/2.0", "GET /healthcheck HTTP/2.0\r\nHost: x\r\n\r\n"));
     }
 
-    /** The state cannot be written for as long as a folder has the name of the fresh copy. */
+    /** Writes of the state fail while a folder has the name of the file for the new copy. */
     @Test
-    void answersWhatCannotBeKept() throws IOException {
+    void respondsWithErrorToOrdersThatCannotBeWritten() throws IOException {
         Path obstacle = Files.createDirectory(folder.resolve("gorsestack-n1.state.new"));
         String failing = calls(
-                UPSTREAM + "maint", UPSTREAM + "maint", UPSTREAM + "ready", UPSTREAM + "ready", UPSTREAM + "maint");
+                UPSTREAM_COMMAND + "maint", UPSTREAM_COMMAND + "maint", UPSTREAM_COMMAND + "ready", UPSTREAM_COMMAND + "ready", UPSTREAM_COMMAND + "maint");
         Files.delete(obstacle);
-        NOT_KEPT.assertSame(failing + calls(UPSTREAM + "maint"));
+        NOT_WRITTEN.assertSame(failing + calls(UPSTREAM_COMMAND + "maint"));
     }
 }
--- a/balancer/src/test/java/gorsestack/admin/AdminServerTest.java
+++ b/balancer/src/test/java/gorsestack/admin/AdminServerTest.java
@@ -23,26 +23,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operators' interface on loopback, with a balancer that only records what it is asked. */
+/**
+ * Guards against lost or misapplied commands of operators, and against clients that block the admin interface. Runs the admin server on
+ * loopback, with a balancer that only records its calls.
+ */
 class AdminServerTest {
     @TempDir
     private Path folder;
 
     private final EventLoopThread eventLoop = new EventLoopThread();
     private final Map<String, Long> maintenance = new ConcurrentSkipListMap<>();
-    private volatile boolean away;
+    private volatile boolean evacuating;
     private volatile String receivedState;
     private InetSocketAddress address;
 
-    private Handover handover(AdminServer to) {
+    private Handover handover(AdminServer adminServer) {
         return new Handover(folder, "n1", false, eventLoop, new Handover.Listener() {
             @Override
-            public void onMaintenanceOrder(String upstream, long back) {
-                to.applyOrder(upstream, back);
+            public void onMaintenanceOrder(String upstream, long endedAt) {
+                adminServer.applyOrder(upstream, endedAt);
             }
 
             @Override
-            public void otherProcessChanged(boolean another, boolean open) {}
+            public void otherProcessChanged(boolean otherRuns, boolean otherAccepts) {}
 
             @Override
             public List<LearnedLocality> exportLearned() {
@@ -58,10 +61,10 @@
 
     private void start() throws IOException {
         Limits limits = Limits.of(new ObjectMapper().readTree("{\"sockets\":1024}"), new ObjectMapper().readTree("{}"));
-        AdminServer management = new AdminServer(limits, eventLoop, new AdminServer.Balancer() {
+        AdminServer adminServer = new AdminServer(limits, eventLoop, new AdminServer.Balancer() {
             @Override
             public boolean ready() {
-                return !away;
+                return !evacuating;
             }
 
             @Override
@@ -70,39 +73,39 @@
             }
 
             @Override
-            public void setMaintenance(String upstream, long back) {
-                maintenance.put(upstream, back);
+            public void setMaintenance(String upstream, long endedAt) {
+                maintenance.put(upstream, endedAt);
             }
 
             @Override
-            public void evacuate(boolean isAway) {
-                away = isAway;
+            public void evacuate(boolean enabled) {
+                evacuating = enabled;
             }
         });
-        management.storeOrdersIn(handover(management));
-        try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            address = new InetSocketAddress(any.getInetAddress(), any.getLocalPort());
+        adminServer.storeOrdersIn(handover(adminServer));
+        try (ServerSocket freePort = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            address = new InetSocketAddress(freePort.getInetAddress(), freePort.getLocalPort());
         }
         new MinaNetwork(limits, eventLoop)
-                .listenSeparately(address, limits.admin().maxConnections() + 4, management::newConnection);
+                .listenSeparately(address, limits.admin().maxConnections() + 4, adminServer::newConnection);
     }
 
-    /** The status code of the response. */
+    /** Sends bytes on a new connection and returns the status code of the response. */
     private String send(String bytes) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(1_000);
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
-            String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            return answer.split(" ")[1];
+            String response = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            return response.split(" ")[1];
         }
     }
 
-    private String call(String what) throws IOException {
-        return send(what + " HTTP/1.1\r\nHost: x\r\n\r\n");
+    private String call(String requestLine) throws IOException {
+        return send(requestLine + " HTTP/1.1\r\nHost: x\r\n\r\n");
     }
 
     @Test
-    void runsEachCommandAndRejectsAllElse() throws IOException {
+    void runsEachCommandAndRejectsInvalidRequests() throws IOException {
         start();
         String[][] rows = {
             {"GET /healthcheck", "200"},
@@ -129,7 +132,7 @@
         assertEquals("431", send("GET /" + "x".repeat(20_000)));
         assertEquals("400", send("PUT /healthcheck/fail HTTP/1.1\r\nContent-Length: 1\r\n\r\nx"));
         assertEquals(Map.of(), maintenance);
-        assertTrue(!away);
+        assertTrue(!evacuating);
         String id = "PUT /upstreams/s%2F1%20%C3%A9+/";
         assertEquals("200", call(id + "ready"));
         assertEquals(Map.of(), maintenance, "back into service without maintenance changes nothing");
@@ -137,12 +140,12 @@
         assertEquals("200", call(id + "maint"));
         assertEquals(Map.of("s/1 é+", Handover.NOT_ENDED), maintenance);
         assertEquals("200", call(id + "ready"));
-        assertTrue(maintenance.get("s/1 é+") < Handover.NOT_ENDED, "one order ends both");
+        assertTrue(maintenance.get("s/1 é+") < Handover.NOT_ENDED, "one order ends the maintenance that was ordered twice");
     }
 
-    /** Guards against hundreds of clients that stay silent or send half a request. */
+    /** 200 clients send nothing or an incomplete request. */
     @Test
-    void respondsBesideStuckClients() throws IOException {
+    void respondsWhileOtherClientsAreUnresponsive() throws IOException {
         start();
         List<Socket> stuck = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
@@ -152,7 +155,7 @@
                 socket.getOutputStream()
                         .write(i % 2 == 0 ? new byte[0] : "PUT /heal".getBytes(StandardCharsets.US_ASCII));
             } catch (IOException e) {
-                // closed in favour of a later one
+                // The server closes the oldest connections when there are too many.
             }
             if (i % 20 == 19) {
                 assertEquals("200", call("GET /healthcheck"));
@@ -163,43 +166,43 @@
         }
     }
 
-    /** A process that takes over receives what its predecessor has learned, not rows of an earlier upgrade. */
+    /** A successor receives the learned state of its predecessor, not the state of an earlier upgrade. */
     @Test
-    void handsLearnedStateToTheNextProcess() throws Exception {
-        AdminServer to = new AdminServer(null, eventLoop, null);
-        Handover old = handover(to);
-        old.start();
-        Handover young = handover(to);
-        young.start();
-        for (int n = 0; n < 500 && receivedState == null; n++) {
+    void passesLearnedStateToSuccessor() throws Exception {
+        AdminServer adminServer = new AdminServer(null, eventLoop, null);
+        Handover predecessor = handover(adminServer);
+        predecessor.start();
+        Handover successor = handover(adminServer);
+        successor.start();
+        for (int attempt = 0; attempt < 500 && receivedState == null; attempt++) {
             Thread.sleep(10);
         }
         assertEquals("[[1.0, 0.5], [2.0E-9]]", receivedState);
         assertTrue(Files.readString(folder.resolve("gorsestack-n1.state")).contains("2.0E-9"));
     }
 
-    /** Orders outlive their process; from a damaged file those that can be verified are restored. */
+    /** The next process restores all orders; from a damaged file, those that can be verified. */
     @Test
     void restoresOrdersInTheNextProcess() throws Exception {
         start();
         assertEquals("200", call("PUT /upstreams/s%2F1%20%C3%A9+/maint"));
         Path state = folder.resolve("gorsestack-n1.state");
         String whole = Files.readString(state);
-        String out = "{s/1 é+=" + Handover.NOT_ENDED + "}";
+        String inMaintenance = "{s/1 é+=" + Handover.NOT_ENDED + "}";
         String[][] rows = {
-            {whole, out},
-            {whole.substring(0, whole.length() - 8), out},
+            {whole, inMaintenance},
+            {whole.substring(0, whole.length() - 8), inMaintenance},
             {whole.substring(0, whole.indexOf("ban") + 12), "{}"},
             {"", "{}"},
             {"\0\0\0", "{}"},
-            {whole.replace("state 1", "state 2"), out},
+            {whole.replace("state 1", "state 2"), inMaintenance},
             {whole.replace("maint", "mount").replace("s/1", "s/2"), "{}"},
-            {"gorsestack by hand 1\nout %zz\nback x y\nout s%2F1+%C3%A9%2B\nend\n", out}
+            {"gorsestack by hand 1\nout %zz\nback x y\nout s%2F1+%C3%A9%2B\nend\n", inMaintenance}
         };
         for (String[] row : rows) {
             Files.writeString(state, row[0]);
             start();
-            assertEquals("200", call("GET /healthcheck")); // after what was read
+            assertEquals("200", call("GET /healthcheck")); // Runs on the event loop after the orders that were read have been applied.
             assertEquals(row[1], maintenance.toString(), row[0]);
             maintenance.clear();
         }
--- a/balancer/src/test/java/gorsestack/admin/HandoverFileFormatTest.java
+++ b/balancer/src/test/java/gorsestack/admin/HandoverFileFormatTest.java
@@ -26,23 +26,23 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The file that two processes of one balancer share, with operators' orders, learnt rows and the list. The
- * boot id and the clock's
- * origin differ at each run, so both are replaced by constants before the comparison.
+ * Guards against changes in the format of the file that two processes of one balancer share, by which an upgrade would lose maintenance
+ * orders, learned state or the endpoint snapshot. Compares the file with a fixture. The boot identifier and the origin of the clock differ
+ * between runs, so both are replaced by constants before the comparison.
  */
 @Timeout(60)
 class HandoverFileFormatTest {
     private static final Fixture FIXTURE = new Fixture("handover-file.txt");
     private static final long SECOND = 1_000_000_000L;
     private static final long NOW = 1_764_000_000L * SECOND;
-    private static final long BACK = NOW - SECOND;
+    private static final long ENDED_AT = NOW - SECOND;
     private static final long INCARNATION = 1_764_000_000_123L;
     private static final int WAIT_SECONDS = 20;
 
     @TempDir
     private Path folder;
 
-    /** An event loop whose clock stands still. */
+    /** Event loop with a clock that does not advance. */
     private static final class FixedClockLoop implements EventLoop {
         private final EventLoopThread thread = new EventLoopThread();
 
@@ -62,23 +62,23 @@
         }
     }
 
-    /** One process of the balancer, with what it was told. */
+    /** Process of the balancer that records its notifications. */
     private final class BalancerProcess implements Handover.Listener {
         private final BlockingQueue<Map<String, PersistentState.MaintenanceOrder>> orders = new LinkedBlockingQueue<>();
-        private final BlockingQueue<String> learnt = new LinkedBlockingQueue<>();
+        private final BlockingQueue<String> learnedStates = new LinkedBlockingQueue<>();
         private final Handover handover = new Handover(folder, "n1 é", true, new FixedClockLoop(), this);
 
-        void order(String upstream, long back) throws InterruptedException {
-            BlockingQueue<Boolean> kept = new LinkedBlockingQueue<>();
-            handover.order(upstream, back, kept::add);
-            assertEquals(true, kept.poll(WAIT_SECONDS, TimeUnit.SECONDS));
+        void order(String upstream, long endedAt) throws InterruptedException {
+            BlockingQueue<Boolean> saved = new LinkedBlockingQueue<>();
+            handover.order(upstream, endedAt, saved::add);
+            assertEquals(true, saved.poll(WAIT_SECONDS, TimeUnit.SECONDS));
         }
 
         @Override
-        public void onMaintenanceOrder(String upstream, long back) {}
+        public void onMaintenanceOrder(String upstream, long endedAt) {}
 
         @Override
-        public void otherProcessChanged(boolean another, boolean open) {}
+        public void otherProcessChanged(boolean otherRuns, boolean otherAccepts) {}
 
         @Override
         public List<LearnedLocality> exportLearned() {
@@ -87,7 +87,7 @@
 
         @Override
         public void restoreLearned(List<LearnedLocality> learned) {
-            learnt.add(learned.toString());
+            learnedStates.add(learned.toString());
         }
 
         @Override
@@ -115,21 +115,21 @@
                 "s1",
                 new PersistentState.MaintenanceOrder(PersistentState.NOT_ENDED, NOW),
                 "s/2 é",
-                new PersistentState.MaintenanceOrder(BACK, NOW + 1));
+                new PersistentState.MaintenanceOrder(ENDED_AT, NOW + 1));
     }
 
-    /** The file's text with constants for the boot id and the clock's origin, under a checksum that matches. */
+    /** Returns the text of the file with constants for the boot identifier and the origin of the clock, and with a matching checksum. */
     private String normalized() throws IOException {
         String text = Files.readString(file());
         String[] lines = text.split("\n", 3);
-        ObjectNode from = (ObjectNode) new ObjectMapper().readTree(StateCodec.checked(lines[1]));
-        assertTrue(from.path("boot").isTextual() && from.path("clock").isIntegralNumber(), lines[1]);
-        from.put("boot", "").put("clock", 0);
-        return lines[0] + "\n" + StateCodec.line(from.toString()) + lines[2];
+        ObjectNode origin = (ObjectNode) new ObjectMapper().readTree(StateCodec.checked(lines[1]));
+        assertTrue(origin.path("boot").isTextual() && origin.path("clock").isIntegralNumber(), lines[1]);
+        origin.put("boot", "").put("clock", 0);
+        return lines[0] + "\n" + StateCodec.line(origin.toString()) + lines[2];
     }
 
-    /** A save renames the previous copy first, so for a moment there is no file. */
-    private boolean listStored() throws IOException {
+    /** Returns whether the file contains an endpoint. A save renames the previous copy first, so the file may be missing for a moment. */
+    private boolean endpointsWritten() throws IOException {
         try {
             return Files.readString(file()).contains("\"is\":\"member\"");
         } catch (NoSuchFileException e) {
@@ -137,45 +137,45 @@
         }
     }
 
-    private void awaitList() throws Exception {
+    private void awaitEndpoints() throws Exception {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
-        while (!listStored()) {
-            assertTrue(System.nanoTime() < deadline, "the list is kept");
+        while (!endpointsWritten()) {
+            assertTrue(System.nanoTime() < deadline, "the endpoint list was not written in time");
             Thread.sleep(10);
         }
     }
 
-    /** Puts the fixture where the program finds it, in one step. */
-    private void place() throws IOException {
+    /** Replaces the shared file by the fixture, atomically. */
+    private void writeFixture() throws IOException {
         Path copy = folder.resolve("copy");
         Files.write(copy, FIXTURE.bytes());
         Files.move(copy, file(), StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Test
-    void writesTheFixture() throws Exception {
+    void writesFileOfFixture() throws Exception {
         BalancerProcess process = new BalancerProcess();
         process.order("s1", Handover.NOT_ENDED);
         process.order("s/2 é", Handover.NOT_ENDED);
-        process.order("s/2 é", BACK);
+        process.order("s/2 é", ENDED_AT);
         process.handover.startSnapshots(INCARNATION);
-        awaitList();
+        awaitEndpoints();
         FIXTURE.assertSame(normalized());
     }
 
     @Test
-    void readsTheFixture() throws Exception {
+    void readsFileOfFixture() throws Exception {
         new BalancerProcess();
         BalancerProcess successor = new BalancerProcess();
         successor.handover.start();
-        place();
+        writeFixture();
         assertEquals(orders(), successor.orders.poll(WAIT_SECONDS, TimeUnit.SECONDS));
-        assertEquals("[[4.0, 0.2, 0.01, 33.0], [2.0E-9]]", successor.learnt.poll(WAIT_SECONDS, TimeUnit.SECONDS));
+        assertEquals("[[4.0, 0.2, 0.01, 33.0], [2.0E-9]]", successor.learnedStates.poll(WAIT_SECONDS, TimeUnit.SECONDS));
     }
 
     @Test
-    void writesAgainWhatItRead() throws Exception {
-        place();
+    void writesSameFileAfterReadingIt() throws Exception {
+        writeFixture();
         BalancerProcess process = new BalancerProcess();
         process.order("s1", Handover.NOT_ENDED);
         FIXTURE.assertSame(normalized());
--- a/balancer/src/test/java/gorsestack/admin/HandoverTest.java
+++ b/balancer/src/test/java/gorsestack/admin/HandoverTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Maintenance orders over a disk that fails for a while and over clocks that differ. */
+/** Guards against maintenance orders that are lost while writes fail, or because the clocks of two processes differ. */
 @Timeout(60)
 class HandoverTest {
     private static final long HOUR = 3_600_000_000_000L;
@@ -27,41 +27,41 @@
     @TempDir
     private Path folder;
 
-    /** An event loop in a process that has read a wall clock set off by so much. */
-    private static EventLoop clockSetOff(long by) {
-        EventLoopThread of = new EventLoopThread();
+    /** Returns an event loop whose clock differs from the wall clock by the given nanoseconds. */
+    private static EventLoop eventLoopWithClockOffset(long offset) {
+        EventLoopThread delegate = new EventLoopThread();
         return new EventLoop() {
             @Override
             public long now() {
-                return of.now() + by;
+                return delegate.now() + offset;
             }
 
             @Override
             public Runnable at(long time, Runnable task) {
-                return of.at(time - by, task);
+                return delegate.at(time - offset, task);
             }
 
             @Override
             public void execute(Runnable task) {
-                of.execute(task);
+                delegate.execute(task);
             }
         };
     }
 
-    /** One process, with the maintenance orders it received by upstream. */
+    /** Process that records the maintenance orders it receives, by upstream: the time at which they ended, or NOT_ENDED. */
     private final class BalancerProcess implements Handover.Listener {
         final Map<String, Long> maintenance = new ConcurrentHashMap<>();
         final EventLoop eventLoop;
         final Handover handover;
 
-        BalancerProcess(long clockOff) {
-            eventLoop = clockSetOff(clockOff);
+        BalancerProcess(long clockOffset) {
+            eventLoop = eventLoopWithClockOffset(clockOffset);
             handover = new Handover(folder, "n1", true, eventLoop, this);
         }
 
-        boolean order(String upstream, boolean out) throws InterruptedException {
+        boolean order(String upstream, boolean maintenanceOrdered) throws InterruptedException {
             BlockingQueue<Boolean> saved = new LinkedBlockingQueue<>();
-            handover.order(upstream, out ? Handover.NOT_ENDED : eventLoop.now(), saved::add);
+            handover.order(upstream, maintenanceOrdered ? Handover.NOT_ENDED : eventLoop.now(), saved::add);
             return saved.poll(10, TimeUnit.SECONDS);
         }
 
@@ -71,21 +71,21 @@
             return saved.poll(10, TimeUnit.SECONDS);
         }
 
-        /** The orders received once all tasks of the event loop have run. */
+        /** Returns the orders received, after all pending tasks of the event loop have run. */
         Map<String, Long> received() throws InterruptedException {
-            BlockingQueue<Boolean> behind = new LinkedBlockingQueue<>();
-            eventLoop.execute(() -> behind.add(true));
-            behind.poll(10, TimeUnit.SECONDS);
+            BlockingQueue<Boolean> done = new LinkedBlockingQueue<>();
+            eventLoop.execute(() -> done.add(true));
+            done.poll(10, TimeUnit.SECONDS);
             return maintenance;
         }
 
         @Override
-        public void onMaintenanceOrder(String upstream, long back) {
-            maintenance.put(upstream, back);
+        public void onMaintenanceOrder(String upstream, long endedAt) {
+            maintenance.put(upstream, endedAt);
         }
 
         @Override
-        public void otherProcessChanged(boolean another, boolean open) {}
+        public void otherProcessChanged(boolean otherRuns, boolean otherAccepts) {}
 
         @Override
         public List<LearnedLocality> exportLearned() {
@@ -96,57 +96,57 @@
         public void restoreLearned(List<LearnedLocality> learned) {}
     }
 
-    /** Writes that fail for a while: an order is acknowledged only once it is on the disk, and writing is retried. */
+    /** While writes fail, an order is not acknowledged; the write is retried without another order. */
     @Test
-    void acknowledgesWhatIsOnTheDiskAndRetriesTheRest() throws Exception {
+    void acknowledgesOnlyOrdersOnTheDiskAndRetriesFailedWrites() throws Exception {
         BalancerProcess process = new BalancerProcess(0);
         process.handover.start();
         Path obstacle = folder.resolve("gorsestack-n1.state.new");
         Files.createDirectory(obstacle);
-        assertFalse(process.order("s1", true), "nothing was written");
+        assertFalse(process.order("s1", true), "an order that was not written was acknowledged");
         assertFalse(process.saved());
         Files.delete(obstacle);
         Path state = folder.resolve("gorsestack-n1.state");
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (!Files.exists(state)) {
-            assertTrue(System.nanoTime() < end, "written without another order");
+            assertTrue(System.nanoTime() < deadline, "the order was not written in time without another order");
             Thread.onSpinWait();
         }
         assertTrue(process.saved());
         assertEquals(
-                Handover.NOT_ENDED, new BalancerProcess(0).received().get("s1"), "in maintenance in the next process");
+                Handover.NOT_ENDED, new BalancerProcess(0).received().get("s1"), "the upstream must be in maintenance in the next process");
     }
 
-    /** The folder does not exist at the start, and does later. */
+    /** The folder does not exist at the start and is created later. */
     @Test
-    void savesOrdersOnceItsFolderExists() throws Exception {
+    void savesOrdersWhenFolderIsCreatedAfterStart() throws Exception {
         Files.delete(folder);
         BalancerProcess process = new BalancerProcess(0);
         process.handover.start();
         assertFalse(process.order("s1", true));
         Files.createDirectory(folder);
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (!process.saved()) {
-            assertTrue(System.nanoTime() < end);
+            assertTrue(System.nanoTime() < deadline);
         }
         assertEquals(Handover.NOT_ENDED, new BalancerProcess(0).received().get("s1"));
     }
 
-    /** The wall clock was set between the starts of two processes: the later order holds, and ages are true. */
+    /** If the wall clock was set between the starts of two processes, the later order applies, and its age is correct. */
     @Test
-    void theLaterOrderHoldsWhateverTheClocks() throws Exception {
-        for (long off : new long[] {-HOUR, -5_000_000_000L, 5_000_000_000L, HOUR}) {
-            String upstream = "s" + off;
+    void laterOrderAppliesWhenClocksDiffer() throws Exception {
+        for (long offset : new long[] {-HOUR, -5_000_000_000L, 5_000_000_000L, HOUR}) {
+            String upstream = "s" + offset;
             assertTrue(new BalancerProcess(0).order(upstream, true));
-            BalancerProcess successor = new BalancerProcess(off);
+            BalancerProcess successor = new BalancerProcess(offset);
             assertEquals(Handover.NOT_ENDED, successor.received().get(upstream));
             assertTrue(successor.order(upstream, false));
             BalancerProcess last = new BalancerProcess(0);
-            long back = last.received().get(upstream);
-            long ago = last.eventLoop.now() - back;
+            long endedAt = last.received().get(upstream);
+            long age = last.eventLoop.now() - endedAt;
             assertTrue(
-                    back != Handover.NOT_ENDED && ago >= 0 && ago < 30_000_000_000L,
-                    "back " + ago + " ns ago, clock off by " + off);
+                    endedAt != Handover.NOT_ENDED && age >= 0 && age < 30_000_000_000L,
+                    "back " + age + " ns ago, clock offset " + offset);
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/admin/MaintenanceOrdersTest.java
+++ b/balancer/src/test/java/gorsestack/admin/MaintenanceOrdersTest.java
@@ -10,6 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Guards against an order that is overridden by an earlier one from another process or peer, and against orders that are never removed. */
 class MaintenanceOrdersTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long NOW = 1_000_000 * SECOND;
@@ -18,7 +19,7 @@
     private int notifications;
     private final MaintenanceOrders orders = new MaintenanceOrders(new ImmediateLoop(), new RecordingListener());
 
-    /** Runs each task at once, at a fixed time. */
+    /** Event loop that runs each task at once, at a fixed time. */
     private static final class ImmediateLoop implements EventLoop {
         @Override
         public long now() {
@@ -38,8 +39,8 @@
 
     private final class RecordingListener implements Handover.Listener {
         @Override
-        public void onMaintenanceOrder(String upstream, long back) {
-            changes.add(upstream + (back == Handover.NOT_ENDED ? " out" : " back " + (back - NOW)));
+        public void onMaintenanceOrder(String upstream, long endedAt) {
+            changes.add(upstream + (endedAt == Handover.NOT_ENDED ? " out" : " back " + (endedAt - NOW)));
         }
 
         @Override
@@ -48,7 +49,7 @@
         }
 
         @Override
-        public void otherProcessChanged(boolean another, boolean open) {}
+        public void otherProcessChanged(boolean otherRuns, boolean otherAccepts) {}
 
         @Override
         public List<LearnedLocality> exportLearned() {
@@ -60,25 +61,25 @@
     }
 
     @Test
-    void anOrderIsLaterThanTheOneItReplaces() {
+    void newOrderIsLaterThanTheOneItReplaces() {
         orders.put("s1", Handover.NOT_ENDED, NOW + SECOND);
         orders.put("s1", Handover.NOT_ENDED, NOW + 2 * SECOND);
         assertEquals(
                 new MaintenanceOrder(Handover.NOT_ENDED, NOW + SECOND),
                 orders.all().get("s1"),
-                "a repeated order");
+                "a repeated order changes nothing");
         orders.put("s1", NOW, NOW);
         assertEquals(new MaintenanceOrder(NOW, NOW + SECOND + 1), orders.all().get("s1"));
     }
 
     @Test
-    void reportsWhatAMergeChanges() {
+    void mergeNotifiesListenerOfChanges() {
         orders.merge(Map.of(
                 "s1", new MaintenanceOrder(Handover.NOT_ENDED, NOW), "s2", new MaintenanceOrder(NOW + SECOND, NOW)));
-        assertEquals(List.of("s1 out", "s2 back 0"), changes, "no time ahead of the clock");
+        assertEquals(List.of("s1 out", "s2 back 0"), changes, "a time in the future is limited to the current time");
         orders.merge(Map.of("s1", new MaintenanceOrder(NOW - 1, NOW - 1)));
         orders.merge(orders.all());
-        assertEquals(2, changes.size(), "an earlier order");
+        assertEquals(2, changes.size(), "an earlier order changes nothing");
         assertEquals(1, notifications);
         orders.merge(Map.of("s1", new MaintenanceOrder(NOW - 1, NOW + 1)));
         assertEquals("s1 back -1", changes.get(2));
@@ -86,7 +87,7 @@
     }
 
     @Test
-    void aPeersCopyDiffersByMoreThanItsDelivery() {
+    void peersCopyWithinToleranceIsSameOrder() {
         orders.put("s1", Handover.NOT_ENDED, NOW);
         Map<String, MaintenanceOrder> received = Map.of(
                 "s1", new MaintenanceOrder(Handover.NOT_ENDED, NOW - SECOND / 2),
@@ -100,7 +101,7 @@
     }
 
     @Test
-    void forgetsUpstreamsThatWereBackForTenMinutes() {
+    void removesOrdersThatEndedMoreThanTenMinutesAgo() {
         orders.put("s1", Handover.NOT_ENDED, NOW);
         orders.put("s2", NOW, NOW);
         orders.removeExpired(NOW + 600 * SECOND);
--- a/balancer/src/test/java/gorsestack/admin/ProcessPresenceTest.java
+++ b/balancer/src/test/java/gorsestack/admin/ProcessPresenceTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes' presence, within one process: locks of the same process exclude one another too. */
+/**
+ * Guards against a process that does not detect its predecessor or successor. Runs both in one process, as locks of the same process
+ * exclude one another too.
+ */
 class ProcessPresenceTest {
     @TempDir
     private Path folder;
@@ -23,7 +26,7 @@
     }
 
     @Test
-    void seesWhoRunsAndWhoAccepts() throws IOException {
+    void detectsWhichProcessesRunAndAcceptClients() throws IOException {
         ProcessPresence first = opened();
         assertFalse(first.predecessorRuns() || first.successorRuns());
         first.lockAccepting();
@@ -40,7 +43,7 @@
     }
 
     @Test
-    void isNotOpenWithoutItsFolder() {
+    void isNotOpenWhenFolderDoesNotExist() {
         ProcessPresence presence = new ProcessPresence(folder.resolve("absent/lock"));
         assertThrows(IOException.class, presence::open);
         assertFalse(presence.isOpen());
