--- a/balancer/src/main/java/gorsestack/admin/SharedStateFile.java
+++ b/balancer/src/main/java/gorsestack/admin/SharedStateFile.java
@@ -29,7 +29,11 @@
     private PersistentState.EndpointSnapshot endpointSnapshot;
     private long incarnation;
 
-    /** @param onMerged called each time after the state of another copy was merged */
+    /**
+     * Creates an empty state; nothing is read or written yet.
+     *
+     * @param onMerged called each time after the state of another copy was merged
+     */
     SharedStateFile(
             String balancerName,
             SnapshotStore store,
--- a/balancer/src/main/java/gorsestack/recovery/PeerLearnedState.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerLearnedState.java
@@ -15,7 +15,11 @@
     private final int[] zoneHashes;
     private final List<List<LocalityState>> responses = new ArrayList<>();
 
-    /** @param zones zone names in the order of the localities of learned state, this balancer's zone first */
+    /**
+     * Creates a collection without any response.
+     *
+     * @param zones zone names in the order of the localities of learned state, this balancer's zone first
+     */
     PeerLearnedState(List<String> zones) {
         zoneHashes = zones.stream().mapToInt(PeerLearnedState::hash).toArray();
     }
--- a/balancer/src/main/java/gorsestack/recovery/PeerTable.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerTable.java
@@ -30,7 +30,11 @@
     /** Time of the last HELLO message or response to a stale process, by peer; 0 if there was none. */
     private final long[] lastGreetingAt;
 
-    /** @param recentlyStarted uptime in nanoseconds below which a process counts as recently started */
+    /**
+     * Creates a table of peers from which nothing has been received.
+     *
+     * @param recentlyStarted uptime in nanoseconds below which a process counts as recently started
+     */
     PeerTable(int balancerCount, long recentlyStarted) {
         this.balancerCount = balancerCount;
         this.recentlyStarted = recentlyStarted;
--- a/balancer/src/main/java/gorsestack/recovery/RestartStormDetector.java
+++ b/balancer/src/main/java/gorsestack/recovery/RestartStormDetector.java
@@ -27,7 +27,11 @@
     private int retries;
     private boolean retryStorm;
 
-    /** @param duration time in nanoseconds after the start until which observations are attributed to a restart */
+    /**
+     * Creates a detector at the start of this process.
+     *
+     * @param duration time in nanoseconds after the start until which observations are attributed to a restart
+     */
     public RestartStormDetector(long now, long duration) {
         startedAt = now;
         windowStart = now;
--- a/balancer/src/test/java/gorsestack/admin/AdminServerTest.java
+++ b/balancer/src/test/java/gorsestack/admin/AdminServerTest.java
@@ -187,16 +187,16 @@
         start();
         assertEquals("200", call("PUT /upstreams/s%2F1%20%C3%A9+/maint"));
         Path state = folder.resolve("gorsestack-n1.state");
-        String whole = Files.readString(state);
+        String intact = Files.readString(state);
         String inMaintenance = "{s/1 é+=" + Handover.NOT_ENDED + "}";
         String[][] rows = {
-            {whole, inMaintenance},
-            {whole.substring(0, whole.length() - 8), inMaintenance},
-            {whole.substring(0, whole.indexOf("ban") + 12), "{}"},
+            {intact, inMaintenance},
+            {intact.substring(0, intact.length() - 8), inMaintenance},
+            {intact.substring(0, intact.indexOf("ban") + 12), "{}"},
             {"", "{}"},
             {"\0\0\0", "{}"},
-            {whole.replace("state 1", "state 2"), inMaintenance},
-            {whole.replace("maint", "mount").replace("s/1", "s/2"), "{}"},
+            {intact.replace("state 1", "state 2"), inMaintenance},
+            {intact.replace("maint", "mount").replace("s/1", "s/2"), "{}"},
             {"gorsestack by hand 1\nout %zz\nback x y\nout s%2F1+%C3%A9%2B\nend\n", inMaintenance}
         };
         for (String[] row : rows) {
--- a/balancer/src/test/java/gorsestack/recovery/SnapshotStoreTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/SnapshotStoreTest.java
@@ -79,20 +79,20 @@
     /** Truncated or changed at any byte, a text causes no exception, yields no value that was not written, and loses no intact order. */
     @Test
     void readsOnlyOrdersFromDamagedText() {
-        String whole = text(state(7, "s1", "s2"));
-        for (int cut = 0; cut < whole.length(); cut++) {
-            StateCodec.Read read = StateCodec.read(whole.substring(0, cut));
+        String intact = text(state(7, "s1", "s2"));
+        for (int cut = 0; cut < intact.length(); cut++) {
+            StateCodec.Read read = StateCodec.read(intact.substring(0, cut));
             assertFalse(read.complete(), "cut at " + cut);
             assertFalse(read.damage().isEmpty());
             assertNull(read.state().endpointSnapshot());
             int lines =
-                    (int) whole.substring(0, cut).chars().filter(c -> c == '\n').count();
+                    (int) intact.substring(0, cut).chars().filter(c -> c == '\n').count();
             assertEquals(
                     Math.max(0, Math.min(2, lines - 2)),
                     read.state().maintenanceOrders().size(),
                     "cut at " + cut);
         }
-        byte[] bytes = whole.getBytes(StandardCharsets.UTF_8);
+        byte[] bytes = intact.getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i < bytes.length; i++) {
             byte[] changed = bytes.clone();
             changed[i] ^= 4;
@@ -103,7 +103,7 @@
                             .containsAll(read.state().maintenanceOrders().keySet()),
                     "changed at " + i);
             assertTrue(
-                    i <= whole.indexOf('\n')
+                    i <= intact.indexOf('\n')
                             || bytes[i] == '\n'
                             || read.state().maintenanceOrders().size() >= 1,
                     "changed at " + i);
@@ -112,8 +112,8 @@
 
     @Test
     void readsOnlyOrdersOfLaterVersion() {
-        String whole = text(state(7, "s1"));
-        StateCodec.Read later = StateCodec.read(whole.replace("state 1\n", "state 9\n"));
+        String intact = text(state(7, "s1"));
+        StateCodec.Read later = StateCodec.read(intact.replace("state 1\n", "state 9\n"));
         assertFalse(later.complete());
         assertEquals(1, later.state().maintenanceOrders().size());
         assertNull(later.state().endpointSnapshot());
@@ -254,8 +254,8 @@
         store.save(state(1, "s1"));
         store.save(state(2, "s2"));
         Path file = folder.resolve("s");
-        String whole = Files.readString(file);
-        Files.writeString(file, whole.substring(0, whole.length() - 3));
+        String intact = Files.readString(file);
+        Files.writeString(file, intact.substring(0, intact.length() - 3));
         assertTrue(store.changed());
         PersistentState found = store.load();
         assertFalse(store.changed());
