--- a/balancer/src/main/java/gorsestack/recovery/RecoveryProgress.java
+++ b/balancer/src/main/java/gorsestack/recovery/RecoveryProgress.java
@@ -39,7 +39,7 @@
      *     counts as delivered by then
      * @param warmingTimeout maximum time in nanoseconds in phase WARMING; the length of the upstreams' slow start, after which waiting
      *     longer has no benefit
-     * @param onPhase receives each new phase and the reason for it
+     * @param onPhaseEntered receives each new phase and the reason for it
      */
     public RecoveryProgress(
             long now, long listTimeout, long warmingTimeout, BiConsumer<RecoveryPhase, String> onPhaseEntered) {
--- a/balancer/src/main/java/gorsestack/recovery/RestorePolicy.java
+++ b/balancer/src/main/java/gorsestack/recovery/RestorePolicy.java
@@ -17,7 +17,7 @@
     private static final long NANOS_PER_MS = 1_000_000;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     /**
-     * Rate at which a fleet that restarts at once sends list requests. Discovery is a single small service that handles requests one after
+     * Rate per second at which a fleet that restarts at once sends list requests. Discovery is a single small service that handles requests one after
      * the other.
      */
     private static final double LIST_REQUESTS_PER_SECOND = 4;
