--- a/balancer/src/main/java/gorsestack/admin/Handover.java
+++ b/balancer/src/main/java/gorsestack/admin/Handover.java
@@ -102,7 +102,7 @@
         this.eventLoop = eventLoop;
         this.listener = listener;
         this.name = name;
-        ClockOrigin clock = ClockOrigin.here(eventLoop.now());
+        ClockOrigin clock = ClockOrigin.ofThisProcess(eventLoop.now());
         presence = new ProcessPresence(folder.resolve(fileName(name) + ".lock"));
         orders = new MaintenanceOrders(eventLoop, listener);
         SnapshotStore store = store(folder, name, durable, clock);
--- a/balancer/src/main/java/gorsestack/recovery/ClockOrigin.java
+++ b/balancer/src/main/java/gorsestack/recovery/ClockOrigin.java
@@ -26,7 +26,7 @@
      *
      * @param now the current time of this process's clock, in nanoseconds since 1970
      */
-    public static ClockOrigin here(long now) {
+    public static ClockOrigin ofThisProcess(long now) {
         long offset = now - System.nanoTime();
         try {
             return new ClockOrigin(Files.readString(BOOT_ID).strip(), offset);
--- a/balancer/src/main/java/gorsestack/server/BalancerServer.java
+++ b/balancer/src/main/java/gorsestack/server/BalancerServer.java
@@ -126,7 +126,7 @@
             LOG.log(System.Logger.Level.WARNING, "no state is kept: {0}", e.toString());
         }
         RestorePolicy.Restored restored = RestorePolicy.of(
-                Handover.store(configuration.state(), instanceName(), true, ClockOrigin.here(eventLoop.now()))
+                Handover.store(configuration.state(), instanceName(), true, ClockOrigin.ofThisProcess(eventLoop.now()))
                         .load(),
                 instanceName(),
                 eventLoop.now(),
