--- a/balancer/src/main/java/gorsestack/proxy/RecoveryCoordinator.java
+++ b/balancer/src/main/java/gorsestack/proxy/RecoveryCoordinator.java
@@ -86,7 +86,7 @@
     /** The policy has handled a watch event. */
     void afterPolicyUpdate(WatchEvent event, long now) {
         if (persistedLearned != null && event.update().kind() != EndpointUpdate.Kind.CACHED) {
-            List<LearnedLocality> rows = RestorePolicy.reducedWithFleet(persistedLearned, policy.exportLearned());
+            List<LearnedLocality> rows = RestorePolicy.limitsReducedToMembers(persistedLearned, policy.exportLearned());
             persistedLearned = null;
             if (rows != null) {
                 LOG.log(System.Logger.Level.INFO, "fleet_shrunk concurrency_limits=reduced");
--- a/balancer/src/main/java/gorsestack/recovery/RestorePolicy.java
+++ b/balancer/src/main/java/gorsestack/recovery/RestorePolicy.java
@@ -151,7 +151,7 @@
      * @param current current learned state of the same localities
      * @return the current learned state with reduced limits, or null if no limit changes
      */
-    public static List<LearnedLocality> reducedWithFleet(
+    public static List<LearnedLocality> limitsReducedToMembers(
             List<LearnedLocality> restored, List<LearnedLocality> current) {
         List<LearnedLocality> reduced = new ArrayList<>(current);
         boolean anyReduced = false;
--- a/balancer/src/test/java/gorsestack/recovery/SnapshotStoreTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/SnapshotStoreTest.java
@@ -390,11 +390,11 @@
                 LearnedLocality.ofRow(10, 0.3, 0.1, 9, 3),
                 LearnedLocality.ofRow(8, 0.2, 0.1, 30, 5),
                 LearnedLocality.ofRow(1, 0, 0, 0, 1));
-        List<LearnedLocality> now = RestorePolicy.reducedWithFleet(restored, current);
+        List<LearnedLocality> now = RestorePolicy.limitsReducedToMembers(restored, current);
         assertArrayEquals(new double[] {5, 0.3, 0.1, 9, 3}, now.get(0).toRow());
         assertArrayEquals(new double[] {8, 0.2, 0.1, 30, 5}, now.get(1).toRow());
         assertArrayEquals(new double[] {1, 0, 0, 0, 1}, now.get(2).toRow());
-        assertNull(RestorePolicy.reducedWithFleet(
+        assertNull(RestorePolicy.limitsReducedToMembers(
                 restored,
                 List.of(LearnedLocality.ofRow(10, 0.3, 0.1, 9, 6), LearnedLocality.ofRow(8, 0.2, 0.1, 30, 4))));
     }
