--- a/balancer/src/main/java/gorsestack/cli/StateReport.java
+++ b/balancer/src/main/java/gorsestack/cli/StateReport.java
@@ -26,7 +26,7 @@
      * @return the exit code: 0 if the file is intact, 1 if it is damaged, 2 if it cannot be read
      */
     public static int show(Path file, boolean json, PrintStream out, PrintStream err) {
-        StateCodec.Read read;
+        StateCodec.DecodedState read;
         try {
             read = StateCodec.read(new String(Files.readAllBytes(file), StandardCharsets.UTF_8));
             PersistentState state = read.state();
--- a/balancer/src/main/java/gorsestack/recovery/LegacyStateReader.java
+++ b/balancer/src/main/java/gorsestack/recovery/LegacyStateReader.java
@@ -15,7 +15,7 @@
 
     private LegacyStateReader() {}
 
-    static StateCodec.Read read(String[] lines) {
+    static StateCodec.DecodedState read(String[] lines) {
         Map<String, PersistentState.MaintenanceOrder> orders = new TreeMap<>();
         boolean complete = false;
         for (int i = 1; i < lines.length - 1; i++) {
@@ -28,8 +28,8 @@
         }
         PersistentState state = PersistentState.NONE.with(orders);
         return complete
-                ? StateCodec.Read.complete(state)
-                : StateCodec.Read.damaged(
+                ? StateCodec.DecodedState.complete(state)
+                : StateCodec.DecodedState.damaged(
                         state, "it is of version 0.5 and damaged; taken are " + orders.size() + " bans");
     }
 
--- a/balancer/src/main/java/gorsestack/recovery/SnapshotStore.java
+++ b/balancer/src/main/java/gorsestack/recovery/SnapshotStore.java
@@ -70,7 +70,7 @@
     public PersistentState load() {
         PersistentState latest = PersistentState.NONE;
         Map<String, PersistentState.MaintenanceOrder> orders = Map.of();
-        for (StateCodec.Read copy : readSnapshots()) {
+        for (StateCodec.DecodedState copy : readSnapshots()) {
             PersistentState state = copy.state().convertedTo(clock);
             orders = PersistentState.merged(orders, state.maintenanceOrders());
             if (copy.complete() && isLater(state, latest)) {
@@ -85,8 +85,8 @@
                 || (state.incarnation() == other.incarnation() && state.writtenAt() > other.writtenAt());
     }
 
-    private List<StateCodec.Read> readSnapshots() {
-        List<StateCodec.Read> snapshots = new ArrayList<>();
+    private List<StateCodec.DecodedState> readSnapshots() {
+        List<StateCodec.DecodedState> snapshots = new ArrayList<>();
         for (String copy : List.of(file, newFile(), backupFile())) {
             try {
                 byte[] bytes = storage.read(copy);
@@ -103,9 +103,9 @@
         return snapshots;
     }
 
-    private StateCodec.Read decode(String copy, byte[] bytes) {
-        StateCodec.Read read = bytes.length > MAX_BYTES
-                ? StateCodec.Read.damaged(PersistentState.NONE, "it is too large")
+    private StateCodec.DecodedState decode(String copy, byte[] bytes) {
+        StateCodec.DecodedState read = bytes.length > MAX_BYTES
+                ? StateCodec.DecodedState.damaged(PersistentState.NONE, "it is too large")
                 : StateCodec.read(new String(bytes, StandardCharsets.UTF_8));
         // A crash during a write leaves an incomplete new copy, whose content has not been acknowledged to an operator.
         if (!read.complete() && !copy.equals(newFile())) {
--- a/balancer/src/main/java/gorsestack/recovery/StateCodec.java
+++ b/balancer/src/main/java/gorsestack/recovery/StateCodec.java
@@ -32,13 +32,13 @@
      * @param complete whether the text is complete and undamaged
      * @param damage short description of the damage; empty if there is none
      */
-    public record Read(PersistentState state, boolean complete, String damage) {
-        static Read complete(PersistentState state) {
-            return new Read(state, true, "");
+    public record DecodedState(PersistentState state, boolean complete, String damage) {
+        static DecodedState complete(PersistentState state) {
+            return new DecodedState(state, true, "");
         }
 
-        static Read damaged(PersistentState usable, String damage) {
-            return new Read(usable, false, damage);
+        static DecodedState damaged(PersistentState usable, String damage) {
+            return new DecodedState(usable, false, damage);
         }
     }
 
@@ -48,23 +48,23 @@
     }
 
     /** Reads the text form of this version or of version 0.5. From any other text it reads the records that can be verified. */
-    public static Read read(String text) {
+    public static DecodedState read(String text) {
         if (text.isEmpty()) {
-            return Read.damaged(PersistentState.NONE, "it is empty");
+            return DecodedState.damaged(PersistentState.NONE, "it is empty");
         }
         String[] lines = text.split("\n", -1);
         if (lines[0].equals(LegacyStateReader.FORMAT)) {
             return LegacyStateReader.read(lines);
         }
         if (!lines[0].startsWith(FORMAT_PREFIX)) {
-            return Read.damaged(PersistentState.NONE, "it is not a state file");
+            return DecodedState.damaged(PersistentState.NONE, "it is not a state file");
         }
         int version;
         try {
             version =
                     Integer.parseInt(lines[0].substring(FORMAT_PREFIX.length()).strip());
         } catch (NumberFormatException e) {
-            return Read.damaged(PersistentState.NONE, "its format version is not a number");
+            return DecodedState.damaged(PersistentState.NONE, "its format version is not a number");
         }
         return new StateRecordReader().read(version, lines);
     }
--- a/balancer/src/main/java/gorsestack/recovery/StateRecordReader.java
+++ b/balancer/src/main/java/gorsestack/recovery/StateRecordReader.java
@@ -27,7 +27,7 @@
     private boolean endFound;
 
     /** Reads all lines behind the first; damaged lines are skipped. */
-    StateCodec.Read read(int version, String[] lines) {
+    StateCodec.DecodedState read(int version, String[] lines) {
         // The last element is empty, or a line that was cut off.
         for (int i = 1; i < lines.length - 1; i++) {
             readLine(lines[i]);
@@ -37,13 +37,13 @@
         if (version > StateCodec.VERSION) {
             // Maintenance orders have the same meaning in every version; other records of a later version may differ.
             String damage = "it is of version " + version + ", later than " + StateCodec.VERSION;
-            return StateCodec.Read.damaged(ordersOnly(), damage + usable);
+            return StateCodec.DecodedState.damaged(ordersOnly(), damage + usable);
         }
         if (!complete) {
             String damage = damagedLines > 0 ? damagedLines + " lines are damaged" : "it is truncated";
-            return StateCodec.Read.damaged(ordersOnly(), damage + usable);
+            return StateCodec.DecodedState.damaged(ordersOnly(), damage + usable);
         }
-        return StateCodec.Read.complete(state());
+        return StateCodec.DecodedState.complete(state());
     }
 
     private void readLine(String line) {
--- a/balancer/src/test/java/gorsestack/recovery/SnapshotStoreTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/SnapshotStoreTest.java
@@ -67,7 +67,7 @@
                         new PersistentState.MaintenanceOrder(PersistentState.NOT_ENDED, 3),
                         "s2",
                         new PersistentState.MaintenanceOrder(9, 9)));
-        StateCodec.Read read = StateCodec.read(text(state));
+        StateCodec.DecodedState read = StateCodec.read(text(state));
         assertTrue(read.complete());
         assertEquals(state.maintenanceOrders(), read.state().maintenanceOrders());
         assertEquals(state.endpointSnapshot(), read.state().endpointSnapshot());
@@ -81,7 +81,7 @@
     void readsOnlyOrdersFromDamagedText() {
         String text = text(state(7, "s1", "s2"));
         for (int cut = 0; cut < text.length(); cut++) {
-            StateCodec.Read read = StateCodec.read(text.substring(0, cut));
+            StateCodec.DecodedState read = StateCodec.read(text.substring(0, cut));
             assertFalse(read.complete(), "cut at " + cut);
             assertFalse(read.damage().isEmpty());
             assertNull(read.state().endpointSnapshot());
@@ -96,7 +96,7 @@
         for (int i = 0; i < bytes.length; i++) {
             byte[] changed = bytes.clone();
             changed[i] ^= 4;
-            StateCodec.Read read = StateCodec.read(new String(changed, StandardCharsets.UTF_8));
+            StateCodec.DecodedState read = StateCodec.read(new String(changed, StandardCharsets.UTF_8));
             assertFalse(read.complete(), "changed at " + i);
             assertTrue(
                     List.of("s1", "s2")
@@ -113,7 +113,7 @@
     @Test
     void readsOnlyOrdersOfLaterVersion() {
         String text = text(state(7, "s1"));
-        StateCodec.Read later = StateCodec.read(text.replace("state 1\n", "state 9\n"));
+        StateCodec.DecodedState later = StateCodec.read(text.replace("state 1\n", "state 9\n"));
         assertFalse(later.complete());
         assertEquals(1, later.state().maintenanceOrders().size());
         assertNull(later.state().endpointSnapshot());
--- a/balancer/src/test/java/gorsestack/recovery/StateFileFormatTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/StateFileFormatTest.java
@@ -113,7 +113,7 @@
     /** Version 0.5 wrote this format. The current version reads it and writes its own. */
     @Test
     void readsStateFileOfVersion05() throws IOException {
-        StateCodec.Read read = StateCodec.read(VERSION_0_5.text());
+        StateCodec.DecodedState read = StateCodec.read(VERSION_0_5.text());
         assertTrue(read.complete(), read.damage());
         assertEquals(
                 Map.of(
