--- a/balancer/src/main/java/gorsestack/fleet/store/MemberLog.java
+++ b/balancer/src/main/java/gorsestack/fleet/store/MemberLog.java
@@ -77,11 +77,11 @@
         int from = 0;
         while (from < text.length()) {
             int end = text.indexOf('\n', from);
-            String json = end < 0 ? null : StateCodec.checked(text.substring(from, end));
+            String json = end < 0 ? null : StateCodec.verifiedJson(text.substring(from, end));
             if (json == null) {
                 for (int next = end; next >= 0 && next < text.length() - 1; ) {
                     int after = text.indexOf('\n', next + 1);
-                    if (after >= 0 && StateCodec.checked(text.substring(next + 1, after)) != null) {
+                    if (after >= 0 && StateCodec.verifiedJson(text.substring(next + 1, after)) != null) {
                         throw new IOException(file + " is damaged at byte " + from
                                 + ", with whole lines behind; this member must not vote under" + " its identity");
                     }
--- a/balancer/src/main/java/gorsestack/recovery/StateCodec.java
+++ b/balancer/src/main/java/gorsestack/recovery/StateCodec.java
@@ -75,7 +75,7 @@
     }
 
     /** Returns the JSON text of a line that is given without its line end; null if the checksum is wrong. */
-    public static String checked(String line) {
+    public static String verifiedJson(String line) {
         boolean hasChecksum = line.length() > CHECKSUM_LENGTH + 1 && line.charAt(CHECKSUM_LENGTH) == ' ';
         if (!hasChecksum) {
             return null;
--- a/balancer/src/main/java/gorsestack/recovery/StateRecordReader.java
+++ b/balancer/src/main/java/gorsestack/recovery/StateRecordReader.java
@@ -47,7 +47,7 @@
     }
 
     private void readLine(String line) {
-        String json = StateCodec.checked(line);
+        String json = StateCodec.verifiedJson(line);
         JsonNode record = json == null ? null : parse(json);
         if (record == null) {
             damagedLines++;
--- a/balancer/src/test/java/gorsestack/admin/HandoverFileFormatTest.java
+++ b/balancer/src/test/java/gorsestack/admin/HandoverFileFormatTest.java
@@ -122,7 +122,7 @@
     private String normalized() throws IOException {
         String text = Files.readString(file());
         String[] lines = text.split("\n", 3);
-        ObjectNode origin = (ObjectNode) new ObjectMapper().readTree(StateCodec.checked(lines[1]));
+        ObjectNode origin = (ObjectNode) new ObjectMapper().readTree(StateCodec.verifiedJson(lines[1]));
         assertTrue(origin.path("boot").isTextual() && origin.path("clock").isIntegralNumber(), lines[1]);
         origin.put("boot", "").put("clock", 0);
         return lines[0] + "\n" + StateCodec.line(origin.toString()) + lines[2];
