--- a/balancer/src/main/java/gorsestack/decision/UpstreamSelector.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamSelector.java
@@ -230,8 +230,8 @@
      * calls as a fast one and respond late to all of them.
      *
      * <p>One of many balancers makes too few attempts to measure an upstream's latency. The typical latency of the class
-     * is used until the latency of the upstream is known. It also counts more the smaller this balancer's part of the
-     * locality is, because the balancer's own attempts in flight then do not show where those of the others queue.
+     * is used until the latency of the upstream is known. It also counts more the smaller this balancer's quota of
+     * the locality is, because the balancer's own attempts in flight then do not show where those of the others queue.
      */
     private double observedSpeed(UpstreamState upstream) {
         Locality locality = upstream.locality;
@@ -239,7 +239,8 @@
         double meanLatency = locality.concurrency.latencyRatio;
         double expectedLatency = settings.nominalWeights() ? typicalLatency : meanLatency;
         double ownLatency = upstream.latencyRatio == 0 ? typicalLatency : upstream.latencyRatio;
-        // Guards against a list in which all sizes are 0, with which no upstream would ever be selected.
+        // Guards against a list in which all sizes are 0, with which no upstream would be selected and the rotation
+        // would never end.
         double size = settings.nominalWeights() && locality.meanWeight > 0
                 ? upstream.endpoint.weight() / locality.meanWeight
                 : 1;
--- a/balancer/src/test/java/gorsestack/decision/LocalityRouterTest.java
+++ b/balancer/src/test/java/gorsestack/decision/LocalityRouterTest.java
@@ -27,7 +27,7 @@
         assertEquals(0, router.firstHealthy(1001 * MS));
         localities[0].ejectedCount = 4;
         localities[1].ejectedCount = 10;
-        assertEquals(0, router.firstHealthy(1002 * MS), "own locality when traffic has left all");
+        assertEquals(0, router.firstHealthy(1002 * MS), "own locality when no locality has enough healthy upstreams");
     }
 
     @Test
--- a/balancer/src/test/java/gorsestack/decision/SlowStartTest.java
+++ b/balancer/src/test/java/gorsestack/decision/SlowStartTest.java
@@ -73,21 +73,21 @@
                 }
             }
             for (int i = 0; i < toCold.size(); i++) {
-                long startedAt = toCold.get(i);
+                long windowStart = toCold.get(i);
                 long sent = toCold.stream()
-                        .filter(sentAt -> sentAt >= startedAt && sentAt < startedAt + 1000)
+                        .filter(sentAt -> sentAt >= windowStart && sentAt < windowStart + 1000)
                         .count();
-                double capacityFraction = 0.15 + 0.85 * Math.min(1, startedAt / 20_000.0);
+                double capacityFraction = 0.15 + 0.85 * Math.min(1, windowStart / 20_000.0);
                 assertTrue(
                         sent <= 2.5 * capacity * capacityFraction,
-                        "sent " + sent + " in a second at " + startedAt + " ms");
+                        "sent " + sent + " in a second at " + windowStart + " ms");
             }
             assertTrue(toCold.size() > 100, "attempts to the upstream that is warming up: " + toCold.size());
         }
     }
 
     /**
-     * Each balancer's part of the upstream's budget may be less than one call. If every balancer rounded it down, none would
+     * Each balancer's quota of the upstream's budget may be less than one call. If every balancer rounded it down, none would
      * send a call and the upstream would never warm up.
      */
     @Test
--- a/balancer/src/test/java/gorsestack/decision/UpstreamSelectorTest.java
+++ b/balancer/src/test/java/gorsestack/decision/UpstreamSelectorTest.java
@@ -58,7 +58,7 @@
         assertTrue(toSlow > 10 && toSlow < 45, toSlow + " of 120 calls to the slow half");
     }
 
-    /** With nominal sizes of 0 no upstream would ever have enough credit, and the rotation would never end. */
+    /** With nominal sizes of 0 no upstream would collect enough credit, and the rotation would never end. */
     @Test
     void selectsUpstreamWhenAllNominalSizesAreZero() {
         Settings base = PolicySimulation.settings(1, 0, 1, false, Scope.ALL);
