--- a/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
+++ b/balancer/src/test/java/gorsestack/decision/AdmissionControlTest.java
@@ -2,8 +2,8 @@
 
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.entry;
-import static gorsestack.decision.PolicySimulation.heldDuring;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.pendingCallsDuring;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -52,14 +52,16 @@
     @Test
     void rejectsCallsAtOnceOnFirstTierWhenLocalitiesAreFullAndLate() {
         for (int tier = 0; tier < 2; tier++) {
-            PolicySimulation simulation = six(PolicySimulation.settings(1, tier, 2, false, Scope.ALL), 1);
+            PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, tier, 2, false, Scope.ALL), 1);
             for (int i = 0; i < 400; i++) {
                 simulation.call("c" + i, "read", 1000 * MS);
                 simulation.fulfilLater("c" + i, 350 * MS);
                 simulation.runTo(simulation.now + 5 * MS);
             }
             long rejected = simulation.calls.values().stream()
-                    .filter(c -> "rate-limited".equals(c.answer) && c.answeredAt == c.from && c.advice == 100 * MS)
+                    .filter(c -> "rate-limited".equals(c.response)
+                            && c.respondedAt == c.startedAt
+                            && c.retryAfter == 100 * MS)
                     .count();
             assertTrue(
                     tier == 0 ? rejected > 100 : rejected == 0, rejected + " calls rejected at once on tier " + tier);
@@ -72,11 +74,11 @@
      */
     @Test
     void keepsWithinLimitWhenAnotherLocalityIsUnusable() {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
         for (int u = 3; u < 6; u++) {
-            simulation.tell(Kind.DELTA, entry("u" + u, EndpointState.READY, simulation.now, u / 2, "b"));
+            simulation.updateEndpoints(Kind.DELTA, entry("u" + u, EndpointState.READY, simulation.now, u / 2, "b"));
         }
-        int maxInFlight = heldDuring(simulation, 400, 5 * MS, 600 * MS).getMax();
+        int maxInFlight = pendingCallsDuring(simulation, 400, 5 * MS, 600 * MS).getMax();
         assertTrue(maxInFlight > 5 && maxInFlight < 40, maxInFlight + " calls in flight at once");
     }
 
@@ -84,7 +86,7 @@
     @Test
     void rejectsCallsOfLowValueOrLittleRemainingTimeFirstWhenOverloaded() {
         for (boolean byRemainingTime : List.of(false, true)) {
-            PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+            PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
             for (int i = 0; i < 600; i++) {
                 boolean lowPriority = i % 2 == 0;
                 simulation.call(
@@ -96,7 +98,7 @@
             }
             long[] fulfilled = new long[2];
             simulation.calls.values().stream()
-                    .filter(c -> "fulfilled".equals(c.answer))
+                    .filter(c -> "fulfilled".equals(c.response))
                     .forEach(c -> fulfilled[Integer.parseInt(c.id.substring(1)) % 2]++);
             assertTrue(
                     fulfilled[1] > 2 * fulfilled[0] && fulfilled[0] > 0,
@@ -108,15 +110,15 @@
     @Test
     void spreadsAdvisedRetryDelayWhenJitterIsSet() {
         for (double jitter : new double[] {0, 0.5, 1}) {
-            PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+            PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
             simulation.policy.setRetryAfterJitter(jitter);
             for (int i = 0; i < 400; i++) {
                 simulation.call("c" + i, "read", 1000 * MS);
                 simulation.runTo(simulation.now + MS);
             }
             var delays = simulation.calls.values().stream()
-                    .filter(c -> "rate-limited".equals(c.answer))
-                    .mapToLong(c -> c.advice)
+                    .filter(c -> "rate-limited".equals(c.response))
+                    .mapToLong(c -> c.retryAfter)
                     .summaryStatistics();
             assertTrue(
                     delays.getCount() > 100
--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -2,8 +2,8 @@
 
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.entry;
-import static gorsestack.decision.PolicySimulation.heldDuring;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.pendingCallsDuring;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gorsestack.decision.EndpointUpdate.Kind;
@@ -26,7 +26,7 @@
                     1 + r.nextInt(4),
                     r.nextBoolean(),
                     Scope.values()[r.nextInt(3)]);
-            PolicySimulation simulation = six(
+            PolicySimulation simulation = withSixUpstreams(
                     seed % 2 == 0 ? settings : PolicySimulation.reporting(settings, r.nextInt(settings.instances())),
                     seed);
             int maxLatencyMillis = 20 + r.nextInt(1500);
@@ -41,10 +41,12 @@
                         List.of("read", "mark", "once").get(r.nextInt(3)),
                         bodyArriving ? Long.MAX_VALUE : remainingTime);
                 if (bodyArriving) {
-                    simulation.at(simulation.now + r.nextInt(900) * MS, () -> simulation.whole(id, remainingTime));
+                    simulation.schedule(
+                            simulation.now + r.nextInt(900) * MS,
+                            () -> simulation.completeRequestBody(id, remainingTime));
                 }
                 if (r.nextInt(30) == 0) {
-                    simulation.maintenance("u" + r.nextInt(6), r.nextBoolean());
+                    simulation.setMaintenance("u" + r.nextInt(6), r.nextBoolean());
                     simulation.policy.setQuota(simulation.now, r.nextBoolean() ? 1 : 0.5);
                     simulation.policy.restoreLearned(
                             simulation.now,
@@ -57,7 +59,7 @@
                     int attempt = k;
                     Outcome outcome =
                             r.nextDouble() > failureFraction ? Outcome.FULFILLED : Outcome.values()[r.nextInt(10)];
-                    simulation.at(simulation.now + r.nextInt(maxLatencyMillis) * MS, () -> {
+                    simulation.schedule(simulation.now + r.nextInt(maxLatencyMillis) * MS, () -> {
                         if (simulation.calls.get(id).attempts.size() > attempt) {
                             simulation.end(id, attempt, outcome);
                         }
@@ -66,7 +68,7 @@
                 if (r.nextInt(20) == 0) {
                     int u = r.nextInt(6);
                     EndpointState state = EndpointState.values()[r.nextInt(3)];
-                    simulation.tell(
+                    simulation.updateEndpoints(
                             Kind.DELTA,
                             entry("u" + u, state, r.nextInt(3) == 0 ? simulation.now : 0, u / 2, u < 3 ? "a" : "b"));
                 }
@@ -77,14 +79,14 @@
                 simulation.policy.onLoadReport(simulation.now, "u" + r.nextInt(8), r.nextInt(9) == 0 ? null : row);
                 byte[] message = new byte[r.nextInt(300)];
                 r.nextBytes(message);
-                if (!simulation.told.isEmpty() && r.nextBoolean()) {
-                    message = simulation.told.get(r.nextInt(simulation.told.size()));
+                if (!simulation.peerMessages.isEmpty() && r.nextBoolean()) {
+                    message = simulation.peerMessages.get(r.nextInt(simulation.peerMessages.size()));
                 } else if (message.length > 0) {
                     message[0] = (byte) r.nextInt(3);
                 }
                 simulation.policy.onPeerMessage(simulation.now, message);
                 if (r.nextInt(100) == 0) {
-                    simulation.tell(Kind.FAILED);
+                    simulation.updateEndpoints(Kind.FAILED);
                 }
             }
             simulation.settle();
@@ -99,7 +101,7 @@
     void learnsBaselineLatencyFromFewResponsesAtMinimumLimit() {
         // The upstream is the only one of another zone, so this balancer's minimum limit there is one call.
         PolicySimulation simulation = new PolicySimulation(PolicySimulation.settings(3, 0, 2, false, Scope.ALL), 1);
-        simulation.tell(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "b"));
+        simulation.updateEndpoints(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "b"));
         for (int i = 0; i < 60; i++) {
             String id = "c" + i;
             simulation.call(id, "once", 990 * MS);
@@ -120,19 +122,24 @@
     /** Guards against two processes of one balancer that each use its whole budget, and against a successor that has to learn again. */
     @Test
     void lowersLimitsByQuotaAndRestoresLearnedStateInSuccessor() {
-        PolicySimulation whole = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
-        int maxInFlightOfWhole = heldDuring(whole, 300, 5 * MS, 600 * MS).getMax();
-        PolicySimulation half = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        PolicySimulation whole = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        int maxInFlightOfWhole =
+                pendingCallsDuring(whole, 300, 5 * MS, 600 * MS).getMax();
+        PolicySimulation half = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         half.policy.setQuota(half.now, 0.5);
-        int maxInFlightOfHalf = heldDuring(half, 300, 5 * MS, 600 * MS).getMax();
+        int maxInFlightOfHalf = pendingCallsDuring(half, 300, 5 * MS, 600 * MS).getMax();
         assertTrue(maxInFlightOfHalf < 0.7 * maxInFlightOfWhole, maxInFlightOfHalf + " against " + maxInFlightOfWhole);
-        PolicySimulation predecessor = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
-        heldDuring(predecessor, 1_500, 10 * MS, 130 * MS);
-        PolicySimulation successor = six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        PolicySimulation predecessor = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
+        pendingCallsDuring(predecessor, 1_500, 10 * MS, 130 * MS);
+        PolicySimulation successor = withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
         successor.policy.restoreLearned(successor.now, predecessor.policy.exportLearned());
-        assertTrue(heldDuring(successor, 60, MS, 500 * MS).getMax()
+        assertTrue(pendingCallsDuring(successor, 60, MS, 500 * MS).getMax()
                 > 1.2
-                        * heldDuring(six(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1), 60, MS, 500 * MS)
+                        * pendingCallsDuring(
+                                        withSixUpstreams(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1),
+                                        60,
+                                        MS,
+                                        500 * MS)
                                 .getMax());
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
@@ -2,7 +2,7 @@
 
 import static gorsestack.decision.PolicySimulation.MS;
 import static gorsestack.decision.PolicySimulation.entry;
-import static gorsestack.decision.PolicySimulation.six;
+import static gorsestack.decision.PolicySimulation.withSixUpstreams;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -52,7 +52,7 @@
     /** The second attempt starts after the lesser of half the remaining time and 0.6 of the SLO; the first success cancels the other. */
     @Test
     void startsSecondAttemptAfterHedgingDelayAndCancelsSlowerOne() {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 4, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 4, false, Scope.ALL), 1);
         for (int i = 0; i < 40; i++) {
             simulation.call("paid" + i, "read", 1000 * MS);
             simulation.end("paid" + i, 0, Outcome.FULFILLED);
@@ -63,7 +63,7 @@
         simulation.runTo(simulation.now + 10 * MS);
         assertEquals(2, simulation.calls.get("c").attempts.size());
         simulation.end("c", 1, Outcome.FULFILLED);
-        assertEquals("fulfilled", simulation.calls.get("c").answer);
+        assertEquals("fulfilled", simulation.calls.get("c").response);
         assertTrue(simulation.calls.get("c").attempts.get(0).cancelled);
         simulation.settle();
     }
@@ -72,7 +72,7 @@
     @Test
     void retriesAtOnceWhenNoAttemptIsInFlight() {
         PolicySimulation simulation = new PolicySimulation(PolicySimulation.settings(1, 0, 4, false, Scope.ZONE), 1);
-        simulation.tell(
+        simulation.updateEndpoints(
                 Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"), entry("u1", EndpointState.READY, 0, 1, "b"));
         for (int i = 0; i < 400; i++) {
             simulation.call("w" + i, "once", 1000 * MS);
@@ -86,7 +86,7 @@
             simulation.end(product, 1, Outcome.MALFORMED_RESPONSE);
             assertEquals(3, c.attempts.size());
             simulation.end(product, 2, Outcome.FULFILLED);
-            assertEquals("fulfilled", c.answer);
+            assertEquals("fulfilled", c.response);
         }
         simulation.settle();
     }
@@ -97,14 +97,14 @@
      */
     @Test
     void givesUnbufferedBodyOneAttemptAndStartsItsTimeoutAtLastByte() {
-        PolicySimulation simulation = six(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
+        PolicySimulation simulation = withSixUpstreams(PolicySimulation.settings(1, 0, 2, false, Scope.ALL), 1);
         simulation.call("lost", "read", Long.MAX_VALUE);
         simulation.end("lost", 0, Outcome.UNREACHABLE);
         assertEquals(2, simulation.calls.get("lost").attempts.size(), "the body is still buffered");
-        simulation.calls.get("lost").bound = true;
+        simulation.calls.get("lost").notReplayable = true;
         simulation.policy.onRequestBody(simulation.now, "lost", -1);
         simulation.end("lost", 1, Outcome.UNREACHABLE);
-        assertEquals("rate-limited", simulation.calls.get("lost").answer);
+        assertEquals("rate-limited", simulation.calls.get("lost").response);
         simulation.call("slow", "read", Long.MAX_VALUE);
         String waitingUpstream = simulation.calls.get("slow").attempts.get(0).upstream;
         simulation.runTo(simulation.now + 5_000 * MS);
@@ -117,10 +117,10 @@
             simulation.runTo(simulation.now + 30 * MS);
         }
         assertTrue(callsToWaitingUpstream > 5, callsToWaitingUpstream + " calls to the upstream that waits for a body");
-        assertEquals(null, simulation.calls.get("slow").answer);
-        simulation.whole("slow", 1000 * MS);
+        assertEquals(null, simulation.calls.get("slow").response);
+        simulation.completeRequestBody("slow", 1000 * MS);
         simulation.runTo(simulation.now + 900 * MS);
-        assertEquals(null, simulation.calls.get("slow").answer);
+        assertEquals(null, simulation.calls.get("slow").response);
         simulation.settle();
         assertEquals(1, simulation.calls.get("slow").attempts.size());
     }
@@ -140,7 +140,7 @@
                         p.billedValue(),
                         0))
                 .toList();
-        PolicySimulation simulation = six(
+        PolicySimulation simulation = withSixUpstreams(
                 new Settings(
                         0,
                         1,
@@ -160,8 +160,8 @@
         simulation.call("once", "once", 1000 * MS);
         simulation.call("mark", "mark", 1000 * MS);
         simulation.runTo(simulation.now + 450 * MS);
-        assertEquals("errored", simulation.calls.get("once").answer);
-        assertEquals(400, (simulation.calls.get("once").answeredAt - simulation.calls.get("once").from) / MS);
-        assertEquals(null, simulation.calls.get("mark").answer);
+        assertEquals("errored", simulation.calls.get("once").response);
+        assertEquals(400, (simulation.calls.get("once").respondedAt - simulation.calls.get("once").startedAt) / MS);
+        assertEquals(null, simulation.calls.get("mark").response);
     }
 }
