--- a/lab/src/main/java/gorsestack/lab/net/Addresses.java
+++ b/lab/src/main/java/gorsestack/lab/net/Addresses.java
@@ -9,9 +9,10 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The loopback addresses of one run. Each lab reserves a 127.N.0.0/16 network with a file lock, which the operating system releases with
- * the process, so concurrent labs, or one started right after another was killed, never share addresses. Each balancer reaches every
- * other party under an address of its own, so that a link can be identified by its address.
+ * Assigns the loopback addresses of one run to balancers, upstreams, discovery and relays. Each lab reserves a 127.N.0.0/16 network with a
+ * file lock. The operating system releases the lock when the process ends, so that concurrent labs, or a lab started right after another
+ * one was killed, never share addresses. Each balancer uses a separate address for every party that it reaches, so that the address
+ * identifies the link. Immutable, and safe for use by any thread.
  */
 public final class Addresses implements AutoCloseable {
     private static final int FIRST_NETWORK = 64;
@@ -36,7 +37,9 @@
         this.lockFile = lockFile;
     }
 
-    /** Reserves a free network; all labs of a machine have to use the same folder for their lock files. */
+    /**
+     * Reserves a free network until the returned object is closed. All labs of a machine have to use the same folder for their lock files.
+     */
     public static Addresses reserve(Path lockFolder) throws IOException {
         for (int network = FIRST_NETWORK; network <= LAST_NETWORK; network++) {
             FileChannel lockFile = FileChannel.open(
@@ -48,15 +51,15 @@
             }
             lockFile.close();
         }
-        throw new IOException(
-                "all networks from 127." + FIRST_NETWORK + " to 127." + LAST_NETWORK + " are taken by other labs");
+        throw new IOException("cannot reserve a loopback network: other labs hold the locks of 127." + FIRST_NETWORK
+                + ".0.0/16 to 127." + LAST_NETWORK + ".0.0/16");
     }
 
     private static FileLock tryLock(FileChannel lockFile) throws IOException {
         try {
             return lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
-            return null; // held by another run in this process
+            return null; // Another run in this process holds the lock.
         }
     }
 
@@ -64,42 +67,45 @@
         return new InetSocketAddress("127." + network + "." + subnet + "." + host, port);
     }
 
-    /** Where a balancer listens for client connections. */
+    /** Returns the address at which a balancer listens for client connections. */
     public InetSocketAddress balancer(int balancer) {
         return address(BALANCER_SUBNET, balancer + 1, CLIENT_PORT);
     }
 
-    /** Where a balancer serves its management endpoints. */
+    /** Returns the address at which a balancer serves its management endpoints. */
     public InetSocketAddress management(int balancer) {
         return address(BALANCER_SUBNET, balancer + 1, MANAGEMENT_PORT);
     }
 
-    /** Where a balancer receives datagrams of its peers. */
+    /** Returns the address at which a balancer receives datagrams from its peers. */
     public InetSocketAddress datagrams(int balancer) {
         return address(BALANCER_SUBNET, balancer + 1, DATAGRAM_PORT);
     }
 
-    /** An upstream as seen by one balancer. */
+    /** Returns the address at which a balancer reaches an upstream. */
     public InetSocketAddress upstream(int balancer, int upstream) {
         return address(balancer + 1, upstream + 1, UPSTREAM_PORT);
     }
 
-    /** Discovery as seen by one balancer; each move to a new address has the next generation. */
+    /** Returns the address at which a balancer reaches discovery. The generation is the number of times that discovery has moved. */
     public InetSocketAddress discovery(int balancer, int generation) {
         return address(balancer + 1, DISCOVERY_HOST, DISCOVERY_PORT + generation);
     }
 
-    /** Where one balancer sends datagrams for another, and the source address under which it receives that peer's datagrams. */
+    /**
+     * Returns the address to which the first balancer sends its datagrams for the second one. It is also the source address of the
+     * datagrams that the first balancer receives from the second one.
+     */
     public InetSocketAddress relay(int sender, int receiver) {
         return address(sender + 1, RELAY_HOST, RELAY_PORT + receiver);
     }
 
-    /** The address in the form of a configuration file, host:port. */
+    /** Returns an address in the form that configuration files use, host:port. */
     public static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Releases the network. */
+    /** Releases the network for other labs. */
     @Override
     public void close() throws IOException {
         lockFile.close();
--- a/lab/src/main/java/gorsestack/lab/net/DatagramRelay.java
+++ b/lab/src/main/java/gorsestack/lab/net/DatagramRelay.java
@@ -14,11 +14,12 @@
 import java.util.function.Supplier;
 
 /**
- * Carries datagrams between two balancers over a link. Each balancer sends to the address under which it knows its peer; the relay
- * forwards from the address under which the receiver knows the sender, so that a check of the source address succeeds.
+ * Forwards datagrams between two balancers, and applies the state of the link between them: drops, loss, delay, duplicates and reordering.
+ * Each balancer sends to the address that its configuration lists for the peer. The relay forwards from the address that the receiver's
+ * configuration lists for the sender, so that the receiver's check of the source address succeeds. Confined to the event loop.
  */
 public final class DatagramRelay implements AutoCloseable {
-    /** The longest that a reordered datagram is delayed: long enough for some tens of others to overtake it. */
+    /** The maximum extra delay of a reordered datagram, long enough that some tens of later datagrams overtake it. */
     private static final double REORDER_DELAY_MS = 20;
 
     private final SplittableRandom random;
@@ -26,7 +27,7 @@
     private Channel firstChannel;
     private Channel secondChannel;
 
-    /** A relay between two balancers; the callback runs for each datagram received. */
+    /** Creates a relay between two balancers and binds its sockets. The callback runs on the event loop for each datagram received. */
     public DatagramRelay(
             EventLoop loop,
             Addresses addresses,
@@ -61,7 +62,7 @@
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        // ICMP port unreachable: the receiver is down
+                        // The receiver is down, and the kernel has reported an ICMP port unreachable.
                     }
                 })
                 .bind(address)
--- a/lab/src/main/java/gorsestack/lab/net/FaultyListener.java
+++ b/lab/src/main/java/gorsestack/lab/net/FaultyListener.java
@@ -20,16 +20,19 @@
 import java.util.function.Consumer;
 
 /**
- * A listener at the accepting end of a link. While open it accepts connections, otherwise it refuses them; while the link drops packets,
- * connection attempts time out. For that a second listener whose accept queue is full takes the address: the kernel then ignores SYNs.
- * Confined to the event loop.
+ * Listens for the connections of a link, on behalf of an upstream or of discovery. It accepts connections while it is open, and refuses
+ * them otherwise. While the link drops packets, connection attempts time out: a black hole, which is a second listener whose accept queue
+ * is full, is bound to the address, so that the kernel ignores SYNs. Confined to the event loop.
  */
 public final class FaultyListener implements AutoCloseable {
-    /** A backlog of one holds two connections; the third filler makes sure that it is full. */
+    /**
+     * The number of connections that fill the accept queue of the black hole. A backlog of one holds two; the third ensures that it is
+     * full.
+     */
     private static final int BACKLOG_FILLERS = 3;
 
     private static final int BACKLOG = 256;
-    /** Attempts to bind, one a millisecond. */
+    /** The maximum number of attempts to bind an address; there is one per millisecond. */
     private static final int MAX_BIND_ATTEMPTS = 500;
 
     private final EventLoop loop;
@@ -44,7 +47,10 @@
     private boolean open;
     private int bindFailures;
 
-    /** The initializer adds its handlers to each accepted connection's pipeline, behind the handler of the link. */
+    /**
+     * Creates a listener that is not open yet. The initializer adds its handlers to the pipeline of each accepted connection, after the
+     * handler of the link.
+     */
     public FaultyListener(
             EventLoop loop,
             InetSocketAddress address,
@@ -65,7 +71,7 @@
         applyState();
     }
 
-    /** Refuses connections from now on; resets the established ones if the listening process is to look dead. */
+    /** Refuses connections from now on. With reset, the established ones are reset too, as if the listening process had died. */
     public void refuse(boolean reset) {
         open = false;
         applyState();
@@ -74,7 +80,7 @@
         }
     }
 
-    /** The number of established connections. */
+    /** Returns the number of established connections. */
     public int connections() {
         return connections.size();
     }
@@ -97,16 +103,20 @@
         }
     }
 
-    /** Retries because a listener closed a moment ago holds its address until its selector has run once more. */
+    /**
+     * Opens the black hole, and retries if the address cannot be bound. A listener that has just been closed holds its address until its
+     * selector has run once more.
+     */
     private void openBlackHole(int remainingAttempts) {
         if (link.reachable() || blackHole != null) {
-            return; // the state has changed since this attempt was scheduled
+            return; // The state of the link has changed since this attempt was scheduled.
         }
         try {
             openBlackHole();
         } catch (IOException e) {
             if (remainingAttempts == 0) {
-                InternalErrors.report(new IOException("cannot drop at " + address + ": " + e.getMessage(), e));
+                InternalErrors.report(
+                        new IOException("cannot simulate dropped packets at " + address + ": " + e.getMessage(), e));
             } else {
                 loop.schedule(() -> openBlackHole(remainingAttempts - 1), 1, TimeUnit.MILLISECONDS);
             }
@@ -140,7 +150,7 @@
             blackHole.close();
             blackHole = null;
         } catch (IOException e) {
-            throw new IllegalStateException("cannot end the drop at " + address, e);
+            throw new IllegalStateException("cannot end the simulation of dropped packets at " + address, e);
         }
     }
 
@@ -185,7 +195,7 @@
         }
     }
 
-    /** Stops listening and resets all connections of the link. */
+    /** Stops listening, and resets all connections of the link. */
     @Override
     public void close() {
         open = false;
--- a/lab/src/main/java/gorsestack/lab/net/LinkHandler.java
+++ b/lab/src/main/java/gorsestack/lab/net/LinkHandler.java
@@ -12,20 +12,21 @@
 import java.util.function.Consumer;
 
 /**
- * Applies the state of a link to one connection; first handler of a stand-in's pipeline. Bytes of a blocked direction wait in order, and
- * reading stops, so that the peer's socket buffers fill up as they would on a real network.
+ * Applies the state of a link to one connection, as the first handler of a stand-in's pipeline. The bytes of a blocked direction wait in
+ * order. While the inbound direction is blocked, nothing is read, so that the socket buffers of the remote end fill up as they would on a
+ * real network. Confined to the event loop.
  */
 public final class LinkHandler extends ChannelDuplexHandler implements Link.LinkConnection {
-    /** A message that waits until its time; a null message stands for the close of the connection. */
+    /** A message that is delivered at a time of System.nanoTime. A null message represents the close of the connection. */
     private record DelayedMessage(Object message, ChannelPromise promise, long dueAt) {}
 
-    /** The delayed messages of one direction, in order. */
+    /** The delayed messages of one direction, in the order of their delivery. */
     private final class DelayQueue {
         private final Link.Direction direction;
         private final Consumer<DelayedMessage> delivery;
         private final Runnable afterDelivery;
         private final ArrayDeque<DelayedMessage> messages = new ArrayDeque<>();
-        /** When the last byte accepted so far has been transmitted. */
+        /** The time at which the last byte accepted so far has been transmitted, as a value of System.nanoTime. */
         private long freeAt;
 
         private boolean flushScheduled;
@@ -92,7 +93,7 @@
     private final DelayQueue outbound;
     private ChannelHandlerContext context;
 
-    /** A handler at the end that accepted the connection, or at the end that opened it. */
+    /** Creates the handler for the end that accepted the connection, or else for the end that opened it. */
     public LinkHandler(Link link, boolean accepted, SplittableRandom random) {
         this.link = link;
         this.random = random;
@@ -152,7 +153,10 @@
         }
     }
 
-    /** A blocked link hides the close too: the peer sees it once the link works again, behind the bytes that wait. */
+    /**
+     * Closes the connection, or delays this while the link is blocked or bytes wait: the remote end sees the close after these bytes, when
+     * the link passes data again.
+     */
     @Override
     public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
         if (outbound.direction.blocked() || !outbound.messages.isEmpty()) {
--- a/lab/src/main/java/gorsestack/lab/net/LinkRegistry.java
+++ b/lab/src/main/java/gorsestack/lab/net/LinkRegistry.java
@@ -7,12 +7,16 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** All links of a run, by the names of the parties at their ends: n3 (balancer), u12 (upstream), discovery, clients-a, front-a. */
+/**
+ * Holds all links of a run by the names of the parties at their ends, for example n3 (a balancer), u12 (an upstream), discovery, clients-a
+ * and front-a (the clients and the front proxy of zone a). Stand-ins look up their links here, and faults select the links they apply to.
+ * Confined to the event loop.
+ */
 public final class LinkRegistry {
     private final Map<String, Link> links = new HashMap<>();
     private final List<Consumer<Link>> newLinkListeners = new ArrayList<>();
 
-    /** The link over which one party connects to another; created on first use. */
+    /** Returns the link over which one party connects to another, and creates it on first use. */
     public Link between(String from, String to) {
         Link link = links.get(from + ">" + to);
         if (link == null) {
@@ -31,7 +35,7 @@
         return () -> newLinkListeners.remove(listener);
     }
 
-    /** All links between a party of one set and a party of another, whichever side opens the connections. */
+    /** Returns all links between a party of one set and a party of another, whichever of them opens the connections, in a stable order. */
     public List<Link> between(Predicate<String> parties, Predicate<String> others) {
         return links.values().stream()
                 .sorted((x, y) -> (x.from + x.to).compareTo(y.from + y.to))
--- a/lab/src/main/java/gorsestack/lab/net/package-info.java
+++ b/lab/src/main/java/gorsestack/lab/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The simulated network: the loopback addresses of a run, and links between parties whose state delays, drops or resets what they carry.
- * The data is carried by real sockets.
+ * The simulated network: the loopback addresses of a run, and the links between parties. The state of a link decides whether its data is
+ * delayed, dropped or reset. Real sockets carry the data.
  */
 package gorsestack.lab.net;
