--- a/lab/src/main/java/gorsestack/lab/process/BalancerConfig.java
+++ b/lab/src/main/java/gorsestack/lab/process/BalancerConfig.java
@@ -9,14 +9,17 @@
 import gorsestack.lab.scenario.Scenario.Rules;
 import gorsestack.lab.standin.Testbed;
 
-/** Creates the configuration files of balancers. */
+/** Creates the content of the balancers' configuration files. Used by {@link BalancerFleet} on the thread that manages the processes. */
 final class BalancerConfig {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final double MS_PER_SECOND = 1e3;
 
-    /** The place of a balancer in the fleet: its tier, the first balancer of that tier, and how many it has. */
-    private record Place(int tier, int first, int count) {
-        static Place of(int balancer, Scenario scenario) {
+    /**
+     * The position of a balancer: the tier that it calls, the first balancer that calls this tier, and the number of balancers that do. The
+     * fleet calls tier 0, and the sidecars of the upstreams of a tier call the next one.
+     */
+    private record Position(int tier, int first, int count) {
+        static Position of(int balancer, Scenario scenario) {
             int tier = 0;
             int first = 0;
             int count = scenario.fleet().balancers();
@@ -25,13 +28,14 @@
                 count = scenario.tiers().get(tier).upstreams();
                 tier++;
             }
-            return new Place(tier, first, count);
+            return new Position(tier, first, count);
         }
     }
 
     private final Testbed testbed;
     private final Scenario scenario;
     private final Addresses addresses;
+    /** The number of configurations created so far. It makes the seed of each one different. */
     private int configurations;
 
     BalancerConfig(Testbed testbed) {
@@ -40,10 +44,10 @@
         addresses = testbed.addresses;
     }
 
-    /** The configuration of a balancer that knows an endpoint list; each has a random seed of its own. */
+    /** Creates a configuration with the endpoint list that the balancer starts with. Each configuration has a different random seed. */
     ObjectNode create(BalancerProcess process, ObjectNode endpointList, int discoveryGeneration) {
         int balancer = process.number;
-        Place place = Place.of(balancer, scenario);
+        Position position = Position.of(balancer, scenario);
         long seed = 0x9e3779b97f4a7c15L * (balancer + 1) + 31L * configurations++;
         ObjectNode config = JSON.createObjectNode()
                 .put("name", "n" + balancer)
@@ -61,10 +65,10 @@
                 .put("memory_mb", scenario.fleet().memoryMb())
                 .put("sockets", scenario.fleet().sockets());
         config.set("known", endpointList);
-        if (scenario.fleet().peers() && place.tier == 0) {
-            addPeers(config.putArray("peers"), balancer, place.count);
+        if (scenario.fleet().peers() && position.tier == 0) {
+            addPeers(config.putArray("peers"), balancer, position.count);
         }
-        addSettings(config.putObject("settings"), balancer, place);
+        addSettings(config.putObject("settings"), balancer, position);
         return config;
     }
 
@@ -75,12 +79,12 @@
         }
     }
 
-    private void addSettings(ObjectNode settings, int balancer, Place place) {
-        int replica = balancer - place.first;
+    private void addSettings(ObjectNode settings, int balancer, Position position) {
+        int replica = balancer - position.first;
         settings.put("az", testbed.zone(replica))
-                .put("tier", place.tier)
+                .put("tier", position.tier)
                 .put("me", replica)
-                .put("replicasOfMe", place.count)
+                .put("replicasOfMe", position.count)
                 .put("step", 5.0)
                 .put("membershipMode", "subscribe")
                 .put("weightSource", "none")
--- a/lab/src/main/java/gorsestack/lab/process/BalancerFleet.java
+++ b/lab/src/main/java/gorsestack/lab/process/BalancerFleet.java
@@ -22,8 +22,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * All balancer processes of a run. Starts and signals take milliseconds, so they are done on a thread of their own, in the order of the
- * calls; a restart never overtakes the kill before it.
+ * Starts, signals and ends all balancer processes of a run. Starts and signals take milliseconds, which would delay the event loop, so a
+ * separate thread performs them, in the order of the calls: a restart never overtakes the kill before it. The methods may be called from
+ * any thread.
  */
 public final class BalancerFleet implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -35,10 +36,12 @@
         void run() throws IOException, InterruptedException, ExecutionException;
     }
 
-    /** One process among those that a balancer has had. */
+    /** One process of a balancer; the number counts the starts of the balancer from 1. */
     private record Incarnation(int balancer, int number) {}
 
+    /** The balancers by their numbers. */
     public final List<BalancerProcess> balancers = new ArrayList<>();
+
     private final Testbed testbed;
     private final Discovery discovery;
     private final BalancerConfig configs;
@@ -50,18 +53,19 @@
     });
 
     /**
-     * Processes whose end was requested; any other end is a crash. Identified by their incarnation, because the end of a killed process may
-     * be noticed when the next one is already running.
+     * The processes whose end was requested; the end of any other process is a crash. The incarnation identifies the process, because the
+     * end of a killed process may be noticed when the next one of the same balancer is already running.
      */
     private final Set<Incarnation> endRequested = ConcurrentHashMap.newKeySet();
 
+    /** The number of starts of each balancer so far. */
     private final Map<Integer, Integer> incarnations = new HashMap<>();
-    /** The endpoint lists of balancers that have been ended, for the configuration of their next process. */
+    /** The endpoint lists at the time when balancers were ended, for the configuration of their next process. */
     private final Map<Integer, ObjectNode> lastEndpointLists = new HashMap<>();
 
     /**
-     * A fleet that has not been started. If the root of a previous version is given, every second balancer is of that version; it is null
-     * otherwise.
+     * Creates a fleet without starting it. If the root folder of a previous version is given, every second balancer is of that version;
+     * otherwise this parameter is null.
      */
     public BalancerFleet(
             Testbed testbed, Discovery discovery, Path root, String command, Path previousRoot, Path output)
@@ -103,7 +107,10 @@
                 configs.create(process, endpointList, generation).toPrettyString());
     }
 
-    /** Starts the processes of balancers; their configuration lists the endpoints that were current when they last ended. */
+    /**
+     * Starts the processes of balancers. The configuration of a balancer that was ended before lists the endpoints of that time, or none if
+     * the scenario's balancers forget their endpoints; that of a new balancer lists the current endpoints.
+     */
     public void start(List<Integer> targets) {
         submit(() -> {
             for (int balancer : targets) {
@@ -138,7 +145,7 @@
         });
     }
 
-    /** Sends a signal: KILL, TERM, STOP, CONT, or HUP with a new configuration. */
+    /** Sends a signal to balancers: KILL, TERM, STOP, CONT or HUP. For HUP, a new configuration is written first. */
     public void signal(String name, List<Integer> targets) {
         submit(() -> {
             if (name.equals("KILL") || name.equals("TERM")) {
@@ -160,7 +167,7 @@
         });
     }
 
-    /** Waits for the end of processes and then changes their state folders, as {@link StateFolders#change} describes. */
+    /** Waits for the end of processes, and then changes their state folders as {@link StateFolders#change} describes. */
     public void changeState(String change, List<Integer> targets) {
         submit(() -> {
             for (int balancer : targets) {
@@ -170,12 +177,12 @@
         });
     }
 
-    /** Copies all state folders, for faults that restore older state. */
+    /** Backs up all state folders, for faults that restore older state. */
     public void backUpState() {
         submit(stateFolders::backUp);
     }
 
-    /** Ends all processes, by SIGTERM and, for those that do not end in time, by SIGKILL. */
+    /** Ends all processes by SIGTERM, and kills those that do not end in time. Waits until this is done. */
     @Override
     public void close() {
         List<Integer> all = balancers.stream().map(process -> process.number).toList();
@@ -199,7 +206,7 @@
         kill();
     }
 
-    /** Kills all processes at once; may be called from any thread. */
+    /** Kills all processes immediately, without waiting for earlier calls to be performed. */
     public void kill() {
         balancers.forEach(BalancerProcess::kill);
     }
--- a/lab/src/main/java/gorsestack/lab/process/BalancerProcess.java
+++ b/lab/src/main/java/gorsestack/lab/process/BalancerProcess.java
@@ -13,8 +13,10 @@
 import java.util.function.IntConsumer;
 
 /**
- * One process of the balancer, and the folder with its files. It is started by a watchdog shell that kills it when the lab ends: the shell
- * waits for the end of its own standard input, which comes however the lab ends, also if it is killed, and also during a start.
+ * One balancer of a run: its process, and the folder with its files. A watchdog shell starts the process and kills it when the lab ends.
+ * The shell waits for the end of its own standard input, which it reaches however the lab ends, even if the lab is killed, and even while
+ * the process is starting. {@link BalancerFleet} starts and signals the process on the thread that manages the processes; any thread may
+ * kill the process or query it.
  */
 public final class BalancerProcess {
     private static final String WATCHDOG_SCRIPT = """
@@ -28,7 +30,7 @@
             exit $rc
             """;
 
-    /** Settings of the balancer in the lab's own environment, which must not reach the process. */
+    /** The prefix of the balancer's environment variables. Those in the environment of the lab itself are not passed on to the process. */
     private static final String SETTING_PREFIX = "ROUTER_";
 
     /** The number of the balancer, from 0. */
@@ -37,10 +39,12 @@
     private final Path folder;
     private final Path root;
     private final String command;
+    /** The watchdog shell of the last process; null before the first start. */
     private volatile Process watchdog;
+
     private volatile long pid;
 
-    /** A balancer that a shell command starts in a root folder; its files go into a folder below the output folder. */
+    /** Creates a balancer that a shell command starts in a root folder. Its files are stored in a folder below the output folder. */
     public BalancerProcess(int number, Path root, String command, Path output) throws IOException {
         this.number = number;
         this.root = root;
@@ -49,7 +53,7 @@
         Files.createDirectories(stateFolder());
     }
 
-    /** The file of its standard output and standard error. */
+    /** Returns the file with the standard output and standard error of the process. */
     public Path log() {
         return folder.resolve("log");
     }
@@ -66,7 +70,7 @@
         return folder.resolve("state-old");
     }
 
-    /** Starts the process; the callback gets its exit code when it ends. */
+    /** Starts the process. The callback receives its exit code when it ends, on a thread of the JDK. */
     void start(IntConsumer onExit) throws IOException {
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", WATCHDOG_SCRIPT).directory(root.toFile());
         Map<String, String> environment = builder.environment();
@@ -80,9 +84,9 @@
                 .start();
         pid = readPid(started);
         watchdog = started;
-        started.onExit().thenAccept(ended -> {
-            closeStreams(ended);
-            onExit.accept(ended.exitValue());
+        started.onExit().thenAccept(exited -> {
+            closeStreams(exited);
+            onExit.accept(exited.exitValue());
         });
     }
 
@@ -91,31 +95,31 @@
                 new BufferedReader(new InputStreamReader(started.getInputStream(), StandardCharsets.US_ASCII));
         String firstLine = output.readLine();
         if (firstLine == null) {
-            throw new IOException("n" + number + " did not start");
+            throw new IOException("n" + number + " did not start: the watchdog shell printed no process id");
         }
         return Long.parseLong(firstLine.strip());
     }
 
-    private static void closeStreams(Process ended) {
+    private static void closeStreams(Process exited) {
         try {
-            ended.getOutputStream().close();
-            ended.getInputStream().close();
+            exited.getOutputStream().close();
+            exited.getInputStream().close();
         } catch (IOException e) {
-            // closed already
+            // The stream is already closed.
         }
     }
 
-    /** Whether the process is running. */
+    /** Returns whether the process is running. */
     public boolean running() {
         return watchdog != null && watchdog.isAlive();
     }
 
-    /** The process id, that of the last one after a restart. */
+    /** Returns the id of the last process that was started; 0 before the first start. */
     public long pid() {
         return pid;
     }
 
-    /** Sends a signal to all that are running, with one shell command so that they get it at almost the same time. */
+    /** Sends a signal to those processes that are running, with one shell command, so that they receive it at almost the same time. */
     static void signal(String name, List<BalancerProcess> processes) throws IOException, InterruptedException {
         List<String> pids = processes.stream()
                 .filter(BalancerProcess::running)
@@ -128,19 +132,19 @@
         }
     }
 
-    /** Kills the process, by the end of the watchdog's standard input. */
+    /** Kills the process: closes the standard input of the watchdog shell, which then kills it. */
     void kill() {
         Process started = watchdog;
         if (started != null) {
             try {
                 started.getOutputStream().close();
             } catch (IOException e) {
-                // closed already
+                // The stream is already closed.
             }
         }
     }
 
-    /** Waits for the end of the process; returns whether it has ended. */
+    /** Waits for the end of the process up to a time limit, and returns whether it has ended. */
     boolean awaitExit(long millis) throws InterruptedException {
         return watchdog == null || watchdog.waitFor(millis, TimeUnit.MILLISECONDS);
     }
--- a/lab/src/main/java/gorsestack/lab/process/StateFolders.java
+++ b/lab/src/main/java/gorsestack/lab/process/StateFolders.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** What faults do to the state folders of balancers between the end and the restart of a process. */
+/**
+ * Applies faults to the state folders of balancers between the end and the restart of their processes. Used by {@link BalancerFleet} on the
+ * thread that manages the processes.
+ */
 final class StateFolders {
     private interface FileTask {
         void run(Path file) throws IOException;
@@ -20,7 +23,7 @@
         this.balancers = balancers;
     }
 
-    /** Copies all state folders, for faults that restore older state. */
+    /** Replaces the backups of all state folders by copies of them, for faults that restore older state. */
     void backUp() throws IOException {
         for (BalancerProcess balancer : balancers) {
             Files.createDirectories(balancer.stateBackup());
@@ -29,7 +32,10 @@
         }
     }
 
-    /** Changes the state folder of one balancer as a scenario says: kept, lost, truncated, older, swapped or unwritable. */
+    /**
+     * Changes the state folder of one balancer. The change is a value from a scenario: kept, lost, truncated, older (the backup is
+     * restored), swapped (the backup of the next balancer is restored) or unwritable.
+     */
     void change(int number, String change) throws IOException {
         BalancerProcess balancer = balancers.get(number);
         Path folder = balancer.stateFolder();
@@ -41,7 +47,7 @@
                 replace(folder, balancers.get((number + 1) % balancers.size()).stateBackup());
             case "unwritable" -> {
                 clear(folder);
-                // Root can write to a folder whatever its permissions, but not to a file in its place.
+                // A file replaces the folder, because root can write to a folder whatever its permissions are.
                 Files.delete(folder);
                 Files.writeString(folder, "no folder\n");
             }
@@ -78,7 +84,7 @@
             try {
                 Files.copy(file, target.resolve(file.getFileName()));
             } catch (NoSuchFileException e) {
-                // replaced by its balancer in the meantime
+                // The balancer has replaced the file since the folder was listed.
             }
         });
     }
--- a/lab/src/main/java/gorsestack/lab/process/package-info.java
+++ b/lab/src/main/java/gorsestack/lab/process/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The balancer processes of a run: their configuration, starts, signals and ends.
- */
+/** The balancer processes of a run: their configuration and state folders, how they are started, signalled and ended. */
 package gorsestack.lab.process;
