--- a/lab/src/main/java/gorsestack/lab/standin/BalancerClient.java
+++ b/lab/src/main/java/gorsestack/lab/standin/BalancerClient.java
@@ -24,25 +24,31 @@
 import java.util.function.Consumer;
 
 /**
- * An HTTP client of one party for one balancer. Each connection has one request at a time and is kept for later ones; more are opened when
- * all are busy. Confined to the event loop.
+ * The HTTP client with which one party calls one balancer: the clients and front proxy of a zone, or an upstream that calls its sidecar. A
+ * connection carries one request at a time and is kept for later requests. Another one is opened if all are busy. Confined to the event
+ * loop.
  */
 final class BalancerClient implements AutoCloseable {
-    /** How a request ended: with a status, or closed, refused, unreachable, timeout or left. */
-    record Response(String outcome, String body, double retryAfter, long sent, long ended, boolean firstOnConnection) {
-
-        /** The end of a request that was never sent. */
-        static Response notSent(String outcome, long ended) {
-            return new Response(outcome, "", 0, Records.NEVER, ended, true);
+    /**
+     * The end of a request. The outcome is the status of the response, or one of closed, refused, unreachable, timeout and left (abandoned
+     * by the client). The value of Retry-After is in seconds, 0 if there is none and negative if it is invalid. Times are those of the
+     * testbed's clock.
+     */
+    record Response(
+            String outcome, String body, double retryAfter, long sentAt, long endedAt, boolean firstOnConnection) {
+
+        /** Returns the end of a request that was never sent. */
+        static Response notSent(String outcome, long endedAt) {
+            return new Response(outcome, "", 0, Records.NEVER, endedAt, true);
         }
 
-        /** The same request, ended by its client. */
+        /** Returns the end of the same request if its client has abandoned it. */
         Response abandoned() {
-            return new Response("left", "", 0, sent, ended, firstOnConnection);
+            return new Response("left", "", 0, sentAt, endedAt, firstOnConnection);
         }
     }
 
-    private static final long MAX_IDLE = 10_000_000_000L;
+    private static final long MAX_IDLE_NANOS = 10_000_000_000L;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     private static final double INVALID_RETRY_AFTER = -1;
 
@@ -51,7 +57,7 @@
     private final InetSocketAddress address;
     private final int balancer;
     private final SplittableRandom random;
-    private final ArrayDeque<Connection> idle = new ArrayDeque<>();
+    private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
 
     BalancerClient(Testbed testbed, String party, int balancer) {
         this.testbed = testbed;
@@ -59,27 +65,27 @@
         link = testbed.links.between(party, "n" + balancer);
         address = testbed.addresses.balancer(balancer);
         random = testbed.random.split();
-        testbed.onClockShift(setBack -> idle.forEach(connection -> connection.idleSince -= setBack));
+        testbed.onClockShift(setBack -> idleConnections.forEach(connection -> connection.idleSince -= setBack));
     }
 
-    /** Sends a request; the handler is called once, at the given time at the latest. */
-    void call(FullHttpRequest request, String id, long until, Consumer<Response> handler) {
-        while (!idle.isEmpty() && idle.peekFirst().idleSince < testbed.now() - MAX_IDLE) {
-            idle.pollFirst().channel.close();
+    /** Sends a request. The handler is called once, at the deadline at the latest. */
+    void call(FullHttpRequest request, String id, long deadline, Consumer<Response> handler) {
+        while (!idleConnections.isEmpty() && idleConnections.peekFirst().idleSince < testbed.now() - MAX_IDLE_NANOS) {
+            idleConnections.pollFirst().channel.close();
         }
-        if (!idle.isEmpty()) {
-            idle.pollLast().send(request, id, until, handler);
+        if (!idleConnections.isEmpty()) {
+            idleConnections.pollLast().send(request, id, deadline, handler);
         } else if (link.reachable()) {
-            connect(request, id, until, handler);
+            connect(request, id, deadline, handler);
         } else {
             long connectTimeout = testbed.now() + CONNECT_TIMEOUT_MS * 1_000_000L;
             testbed.at(
-                    Math.min(until, connectTimeout),
+                    Math.min(deadline, connectTimeout),
                     () -> handler.accept(Response.notSent("unreachable", testbed.now())));
         }
     }
 
-    private void connect(FullHttpRequest request, String id, long until, Consumer<Response> handler) {
+    private void connect(FullHttpRequest request, String id, long deadline, Consumer<Response> handler) {
         Connection connection = new Connection();
         ChannelFuture connecting = new Bootstrap()
                 .group(testbed.loop)
@@ -94,7 +100,7 @@
                                         new LinkHandler(link, false, random),
                                         new HttpRequestEncoder(),
                                         new HttpResponseDecoder(),
-                                        new HttpObjectAggregator(HttpMessages.MAX_BODY),
+                                        new HttpObjectAggregator(HttpMessages.MAX_BODY_BYTES),
                                         connection);
                     }
                 })
@@ -102,7 +108,7 @@
         connection.channel = connecting.channel();
         connecting.addListener(f -> {
             if (f.isSuccess()) {
-                connection.send(request, id, until, handler);
+                connection.send(request, id, deadline, handler);
             } else {
                 handler.accept(Response.notSent("refused", testbed.now()));
             }
@@ -112,52 +118,60 @@
     /** Closes idle connections. */
     @Override
     public void close() {
-        while (!idle.isEmpty()) {
-            idle.pollFirst().channel.close();
+        while (!idleConnections.isEmpty()) {
+            idleConnections.pollFirst().channel.close();
         }
     }
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
+        /** The id of the last request; empty before the first one. */
         private String id = "";
+
         /** The handler of the request in progress; null if there is none. */
         private Consumer<Response> handler;
 
-        private long sent = Records.NEVER;
-        private boolean used;
+        /** When the last request was written to the socket. */
+        private long sentAt = Records.NEVER;
+
+        /** Whether a response has been received on this connection. */
+        private boolean responseReceived;
+
+        /** Whether the last request was sent before any response had been received. */
         private boolean firstRequest;
+
         private long idleSince;
         private Runnable cancelTimeout = () -> {};
 
-        void send(FullHttpRequest request, String requestId, long until, Consumer<Response> responseHandler) {
+        void send(FullHttpRequest request, String requestId, long deadline, Consumer<Response> responseHandler) {
             id = requestId;
             handler = responseHandler;
-            firstRequest = !used;
-            sent = Records.NEVER;
-            cancelTimeout = testbed.at(until, () -> abort("timeout"));
+            firstRequest = !responseReceived;
+            sentAt = Records.NEVER;
+            cancelTimeout = testbed.at(deadline, () -> abort("timeout"));
             channel.writeAndFlush(request).addListener(f -> {
                 if (f.isSuccess()) {
-                    sent = testbed.now();
+                    sentAt = testbed.now();
                 }
             });
         }
 
-        /** Ends the request in progress without a response, and the connection with it. */
+        /** Ends the request in progress, if there is one, without a response, and closes the connection. */
         private void abort(String outcome) {
-            Consumer<Response> waiting = takeHandler();
+            Consumer<Response> pendingHandler = takeHandler();
             if (channel != null) {
                 channel.close();
             }
-            if (waiting != null) {
-                waiting.accept(new Response(outcome, "", 0, sent, testbed.now(), firstRequest));
+            if (pendingHandler != null) {
+                pendingHandler.accept(new Response(outcome, "", 0, sentAt, testbed.now(), firstRequest));
             }
         }
 
         private Consumer<Response> takeHandler() {
-            Consumer<Response> waiting = handler;
+            Consumer<Response> pendingHandler = handler;
             handler = null;
             cancelTimeout.run();
-            return waiting;
+            return pendingHandler;
         }
 
         @Override
@@ -170,19 +184,19 @@
                 ctx.close();
                 return;
             }
-            used = true;
+            responseReceived = true;
             boolean keepAlive = HttpUtil.isKeepAlive(response);
             takeHandler()
                     .accept(new Response(
                             Integer.toString(response.status().code()),
                             response.content().toString(StandardCharsets.UTF_8),
                             retryAfter(response),
-                            sent,
+                            sentAt,
                             testbed.now(),
                             firstRequest));
             if (keepAlive) {
                 idleSince = testbed.now();
-                idle.addLast(this);
+                idleConnections.addLast(this);
             } else {
                 ctx.close();
             }
@@ -202,7 +216,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            idle.remove(this);
+            idleConnections.remove(this);
             abort("closed");
         }
 
--- a/lab/src/main/java/gorsestack/lab/standin/CapacityModel.java
+++ b/lab/src/main/java/gorsestack/lab/standin/CapacityModel.java
@@ -6,22 +6,24 @@
 import java.util.function.Consumer;
 
 /**
- * The capacity of an upstream: slots, a queue, a speed that grows during the slow start, and the load that overloads it during that. Does
- * no I/O and has no clock of its own.
+ * Models the capacity of an upstream: slots that process jobs, a queue of jobs, a speed that grows during the slow start, and the load that
+ * overloads the upstream during the slow start. It does no I/O and reads the time from a {@link Timer}. Used by {@link Upstream} and its
+ * connections on the event loop.
  */
 public final class CapacityModel {
-    /** A clock, and a way to run tasks later. */
+    /** A clock that also schedules tasks. */
     public interface Timer {
-        /** The time in nanoseconds; its origin has no meaning. */
+        /** Returns the time in nanoseconds from an arbitrary origin. */
         long now();
 
-        /** Schedules a task; the returned task cancels it. */
+        /** Schedules a task after a number of nanoseconds. The returned task cancels it. */
         Runnable after(long nanos, Runnable task);
     }
 
     /**
-     * The parameters of an upstream. It starts with a fraction of its capacity, which grows linearly to all of it over the slow start. It
-     * is overloaded once, during that, the work offered within the overload window exceeds its capacity by the overload factor.
+     * The parameters of an upstream. Its speed is the milliseconds of work that a slot does in a millisecond. During the slow start, its
+     * capacity grows linearly from the initial fraction to the full capacity. During this time it is overloaded if the work offered within
+     * the overload window exceeds the capacity within the window multiplied by the overload factor.
      */
     public record Settings(
             double speed,
@@ -32,16 +34,18 @@
             double overloadWindowSeconds,
             double overloadFactor) {}
 
-    /** An overload during the slow start: the work offered within the window and the capacity in it, in milliseconds. */
+    /** An overload during the slow start: the work offered and the capacity within the overload window, in milliseconds of work. */
     public record Overload(double offeredMs, double capacityMs) {}
 
-    /** The work of one request. */
+    /** The work of one request, which occupies a slot or waits in the queue. */
     public static final class Job {
         private final Consumer<Job> onDone;
+        /** The work in milliseconds at a speed of 1. */
         private final double work;
+
         private Runnable cancelTimer = () -> {};
         private boolean running;
-        /** What to do when the upstream no longer hangs; null if the job was not paused. */
+        /** Continues the job when the upstream no longer hangs; null if the job is not paused. */
         private Runnable resume;
 
         Job(double work, Consumer<Job> onDone) {
@@ -49,13 +53,14 @@
             this.onDone = onDone;
         }
 
-        /** Whether the job has had a slot. */
+        /** Returns whether the job has got a slot. */
         public boolean running() {
             return running;
         }
     }
 
-    private record Offered(long at, double work) {}
+    /** Work that arrived at a time, whether it was accepted or not. */
+    private record OfferedWork(long offeredAt, double work) {}
 
     private static final double NANOS_PER_MS = 1e6;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -67,13 +72,15 @@
     private final Consumer<Overload> onOverload;
     private final Set<Job> running = new LinkedHashSet<>();
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    private final ArrayDeque<Offered> offered = new ArrayDeque<>();
+    private final ArrayDeque<OfferedWork> offered = new ArrayDeque<>();
+    /** The sum of the offered work within the overload window, in milliseconds. */
     private double offeredWork;
+
     private long startedAt;
     private double slowdown = 1;
     private boolean hanging;
 
-    /** A model that starts now, or one whose slow start is over already. */
+    /** Creates the model of an upstream that starts now, or, if it is warm, of one whose slow start is over. */
     public CapacityModel(Timer timer, Settings settings, boolean warm, Consumer<Overload> onOverload) {
         this.timer = timer;
         this.settings = settings;
@@ -83,20 +90,20 @@
         startedAt = warm ? timer.now() - (long) slowStartNanos - 1 : timer.now();
     }
 
-    /** The fraction of the full capacity that is available now. */
-    public double warmth() {
+    /** Returns the fraction of the full capacity that is available now. */
+    public double availableFraction() {
         double age = timer.now() - startedAt;
         return age >= slowStartNanos
                 ? 1
                 : settings.initialCapacity + (1 - settings.initialCapacity) * age / slowStartNanos;
     }
 
-    /** The number of jobs that run or wait. */
+    /** Returns the number of jobs that have a slot or wait in the queue. */
     public int jobs() {
         return running.size() + queue.size();
     }
 
-    /** Makes work that starts from now on take so many times as long. */
+    /** Multiplies the duration of all work that starts from now on by a factor. */
     public void setSlowdown(double factor) {
         slowdown = factor;
     }
@@ -115,7 +122,7 @@
         }
     }
 
-    /** Accepts a job, or returns null if the queue is full. The job keeps its slot after its work is done, until it is released. */
+    /** Accepts a job, or returns null if the queue is full. The job keeps its slot when its work is done, until it is released. */
     public Job accept(double work, Consumer<Job> onDone) {
         recordOfferedWork(work);
         Job job = new Job(work, onDone);
@@ -132,13 +139,13 @@
 
     private void recordOfferedWork(double work) {
         long now = timer.now();
-        offered.add(new Offered(now, work));
+        offered.add(new OfferedWork(now, work));
         offeredWork += work;
-        while (offered.peek().at <= now - windowNanos) {
+        while (offered.peek().offeredAt <= now - windowNanos) {
             offeredWork -= offered.poll().work;
         }
-        double capacity = settings.slots * settings.speed * warmth() * windowNanos / NANOS_PER_MS;
-        if (warmth() < 1 && offeredWork > settings.overloadFactor * capacity) {
+        double capacity = settings.slots * settings.speed * availableFraction() * windowNanos / NANOS_PER_MS;
+        if (availableFraction() < 1 && offeredWork > settings.overloadFactor * capacity) {
             onOverload.accept(new Overload(offeredWork, capacity));
         }
     }
@@ -146,15 +153,15 @@
     private void start(Job job) {
         job.running = true;
         running.add(job);
-        work(job, job.work, job.onDone);
+        process(job, job.work, job.onDone);
     }
 
-    private void work(Job job, double work, Consumer<Job> onDone) {
+    private void process(Job job, double work, Consumer<Job> onDone) {
         if (hanging) {
-            job.resume = () -> work(job, work, onDone);
+            job.resume = () -> process(job, work, onDone);
             return;
         }
-        long duration = (long) (work * NANOS_PER_MS * slowdown / (settings.speed * warmth()));
+        long duration = (long) (work * NANOS_PER_MS * slowdown / (settings.speed * availableFraction()));
         job.cancelTimer = timer.after(duration, () -> {
             if (hanging) {
                 job.resume = () -> onDone.accept(job);
@@ -164,14 +171,14 @@
         });
     }
 
-    /** Does more work in the slot that the job has. */
+    /** Does more work in the slot of a job; does nothing if the job no longer has one. */
     public void addWork(Job job, double work, Consumer<Job> onDone) {
         if (running.contains(job)) {
-            work(job, work, onDone);
+            process(job, work, onDone);
         }
     }
 
-    /** Gives back the slot of a job, or its place in the queue. */
+    /** Frees the slot of a job, or removes the job from the queue. */
     public void release(Job job) {
         job.cancelTimer.run();
         if (running.remove(job)) {
@@ -182,7 +189,7 @@
         queue.remove(job);
     }
 
-    /** Drops all jobs. */
+    /** Drops all jobs without finishing them. */
     public void crash() {
         running.forEach(job -> job.cancelTimer.run());
         running.clear();
@@ -195,13 +202,13 @@
         offeredWork = 0;
     }
 
-    /** Adjusts stored times when the clock is set back. */
+    /** Adjusts the stored times when the clock is set back by a number of nanoseconds. */
     void shiftClock(long setBack) {
         startedAt -= setBack;
         forgetOfferedWork();
     }
 
-    /** Starts again, with a slow start. */
+    /** Restarts the upstream with a slow start, and ends its slowdown and its hanging. */
     public void restart() {
         crash();
         startedAt = timer.now();
--- a/lab/src/main/java/gorsestack/lab/standin/Discovery.java
+++ b/lab/src/main/java/gorsestack/lab/standin/Discovery.java
@@ -32,7 +32,7 @@
 
 /**
  * A stand-in for the discovery service of all balancers. It processes calls one after another at a limited rate, and sends changes of the
- * endpoint list to the balancers that watch it. Confined to the event loop.
+ * endpoint list to the balancers that have a watch. Faults make it slow, silent or unavailable. Confined to the event loop.
  */
 public final class Discovery implements AutoCloseable {
     /** The status of an endpoint that may be called. */
@@ -44,15 +44,18 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String MEMBERS_PATH = "/catalog/members";
-    private static final int MAX_REQUEST_BODY = 1 << 16;
-    private static final long HEARTBEAT_INTERVAL = 2_000_000_000L;
-    /** How long the old address is served after a move to a new one. */
-    private static final long OLD_ADDRESS_LIFETIME = 1_500_000_000L;
+    private static final int MAX_REQUEST_BODY_BYTES = 1 << 16;
+    private static final long HEARTBEAT_INTERVAL_NANOS = 2_000_000_000L;
+    /** The time from a move to a new address until the listeners of the old one are closed. */
+    private static final long OLD_ADDRESS_LIFETIME_NANOS = 1_500_000_000L;
 
+    /** The index of the endpoint list before its first change. */
     private static final long FIRST_INDEX = 41;
 
+    /** An upstream with its status; the time since which it is in service is in milliseconds since the epoch, or 0. */
     private record Endpoint(Upstream upstream, String status, long sinceMs) {}
 
+    /** A change of an endpoint, and the index of the list that contains it. */
     private record Change(long index, Endpoint endpoint) {}
 
     private final Testbed testbed;
@@ -60,14 +63,20 @@
     private final Map<Integer, FaultyListener> listeners = new LinkedHashMap<>();
     private final Map<Integer, Endpoint> endpoints = new LinkedHashMap<>();
     private final List<Change> history = new ArrayList<>();
+    /** The connections over which balancers receive changes. */
     private final Set<Connection> watches = new LinkedHashSet<>();
+    /** The number of the current version of the endpoint list. */
     private long index = FIRST_INDEX;
-    /** When the calls accepted so far have been processed. */
+    /** The time at which all calls accepted so far have been processed. */
     private long freeAt;
 
     private double callsPerSecond;
+    /** The delay of changes, in seconds. */
     private double propagationDelay;
+
+    /** Whether it receives requests but sends nothing. */
     private boolean silent;
+
     private int generation;
 
     /** Starts discovery with all upstreams of the pool in service. */
@@ -80,7 +89,7 @@
                 upstream -> endpoints.put(upstream.number, new Endpoint(upstream, IN_SERVICE, upstream.startedAtMs)));
         testbed.onClockShift(setBack -> freeAt -= setBack);
         listen();
-        testbed.after(HEARTBEAT_INTERVAL, this::sendHeartbeats);
+        testbed.after(HEARTBEAT_INTERVAL_NANOS, this::sendHeartbeats);
     }
 
     private void listen() {
@@ -91,23 +100,26 @@
                     testbed.addresses.discovery(balancer, generation),
                     testbed.links.between("n" + balancer, "discovery"),
                     testbed.random.split(),
-                    channel -> accepted(channel, balancer));
+                    channel -> initializeConnection(channel, balancer));
             listeners.put(balancer, listener);
             listener.open();
         }
     }
 
-    private void accepted(SocketChannel channel, int balancer) {
+    private void initializeConnection(SocketChannel channel, int balancer) {
         channel.pipeline()
-                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BODY), new Connection(balancer));
+                .addLast(
+                        new HttpServerCodec(),
+                        new HttpObjectAggregator(MAX_REQUEST_BODY_BYTES),
+                        new Connection(balancer));
     }
 
-    /** How often discovery has moved to another address. */
+    /** Returns the number of times that discovery has moved to another address. */
     public int generation() {
         return generation;
     }
 
-    /** The endpoint list in the form that a balancer's configuration has. */
+    /** Returns the endpoint list for a balancer, in the form in which its configuration contains it. */
     public ObjectNode endpointList(int balancer) {
         return endpointList(balancer, true, endpoints.values());
     }
@@ -117,8 +129,8 @@
         ArrayNode nodes = list.putArray("endpoints");
         int tier = calledTier(balancer);
         for (Endpoint endpoint : selection) {
-            boolean left = snapshot && endpoint.status.equals(TERMINATED);
-            if (endpoint.upstream.tier == tier && !left) {
+            boolean omitted = snapshot && endpoint.status.equals(TERMINATED);
+            if (endpoint.upstream.tier == tier && !omitted) {
                 addEndpoint(nodes.addObject(), balancer, endpoint);
             }
         }
@@ -137,6 +149,7 @@
                 .put("since_ms", endpoint.sinceMs);
     }
 
+    /** Returns the tier whose upstreams a balancer calls. */
     private int calledTier(int balancer) {
         int tier = 0;
         while (!upstreams.callers(tier).contains(balancer)) {
@@ -145,7 +158,7 @@
         return tier;
     }
 
-    /** Publishes a new status of an upstream, after the propagation delay. */
+    /** Publishes a new status of an upstream after the propagation delay. */
     public void publish(Upstream upstream, String status) {
         testbed.after((long) (propagationDelay * 1e9), () -> apply(upstream, status));
     }
@@ -170,10 +183,10 @@
         if (!silent) {
             List.copyOf(watches).forEach(watch -> watch.write("\n"));
         }
-        testbed.after(HEARTBEAT_INTERVAL, this::sendHeartbeats);
+        testbed.after(HEARTBEAT_INTERVAL_NANOS, this::sendHeartbeats);
     }
 
-    /** Ends all watches and refuses connections, or accepts them again. */
+    /** Resets all connections and refuses new ones, or accepts connections again. */
     public void setDown(boolean down) {
         for (FaultyListener listener : listeners.values()) {
             if (down) {
@@ -184,9 +197,9 @@
         }
     }
 
-    /** Sends nothing at all, or responds again. */
-    public void setSilent(boolean newSilent) {
-        silent = newSilent;
+    /** Stops sending responses, changes and heartbeats, or sends them again. */
+    public void setSilent(boolean enabled) {
+        silent = enabled;
     }
 
     /** Limits the rate at which calls are processed. */
@@ -199,7 +212,7 @@
         propagationDelay = seconds;
     }
 
-    /** Sends each watch a part of a line, and nothing after it. */
+    /** Sends part of a line to each watch, and nothing more after it. */
     public void sendPartialLine() {
         for (Connection watch : List.copyOf(watches)) {
             watch.write("{\"index\":" + (index + 1) + ",\"snapshot\":false,\"endp");
@@ -207,14 +220,17 @@
         }
     }
 
-    /** Moves to another address; the old one accepts no connections and is closed after a while. */
+    /**
+     * Moves to another address. The old one accepts no more connections. Its listeners are closed later, which resets the connections of
+     * their links.
+     */
     public void moveAddress() {
-        List<FaultyListener> old = new ArrayList<>(listeners.values());
+        List<FaultyListener> oldListeners = new ArrayList<>(listeners.values());
         generation++;
         listeners.clear();
-        old.forEach(listener -> listener.refuse(false));
+        oldListeners.forEach(listener -> listener.refuse(false));
         listen();
-        testbed.after(OLD_ADDRESS_LIFETIME, () -> old.forEach(FaultyListener::close));
+        testbed.after(OLD_ADDRESS_LIFETIME_NANOS, () -> oldListeners.forEach(FaultyListener::close));
     }
 
     @Override
@@ -222,7 +238,7 @@
         listeners.values().forEach(FaultyListener::close);
     }
 
-    /** The connection of one balancer. */
+    /** A connection of one balancer, which carries calls and at most one watch. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final int balancer;
         private ChannelHandlerContext context;
@@ -263,12 +279,14 @@
             }
         }
 
+        /** Returns the index after which a watch wants changes; 0 if the request names no valid one. */
         private static long afterIndex(String uri) {
-            int at = uri.indexOf("after=");
+            int start = uri.indexOf("after=");
             try {
-                return at < 0
+                return start < 0
                         ? 0
-                        : Long.parseLong(uri.substring(at + "after=".length()).split("&")[0]);
+                        : Long.parseLong(
+                                uri.substring(start + "after=".length()).split("&")[0]);
             } catch (NumberFormatException e) {
                 return 0;
             }
@@ -278,7 +296,9 @@
             context.writeAndFlush(HttpMessages.response(status, body));
         }
 
-        /** Sends the changes after an index if all of them are known, otherwise the whole list; then changes as they happen. */
+        /**
+         * Starts a watch. First sends all changes after an index, or the whole list if some of them are unknown, and then each new change.
+         */
         private void startWatch(long afterIndex) {
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set("Transfer-Encoding", "chunked");
--- a/lab/src/main/java/gorsestack/lab/standin/FrontProxies.java
+++ b/lab/src/main/java/gorsestack/lab/standin/FrontProxies.java
@@ -7,47 +7,54 @@
 import java.util.function.IntConsumer;
 
 /**
- * The front proxy of each zone, which checks the health of the zone's balancers and distributes calls over the healthy ones in turn. Confined
- * to the event loop.
+ * Stand-ins for the front proxies, one in each zone. A front proxy checks the health of the zone's balancers and distributes the calls of
+ * {@link LoadGenerator} over those in rotation, in round-robin order. Confined to the event loop.
  */
 final class FrontProxies implements AutoCloseable {
     private static final String HEALTH_PATH = "/_health";
-    private static final long HEALTH_TIMEOUT = 1_000_000_000L;
+    private static final long HEALTH_TIMEOUT_NANOS = 1_000_000_000L;
 
     /** A balancer as seen by the front proxy of its zone. */
     final class Backend {
         final int balancer;
-        final BalancerClient calls;
+        final BalancerClient callClient;
         private final String zone;
-        private final BalancerClient healthChecks;
+        private final BalancerClient healthCheckClient;
+        /** Whether the balancer gets calls. */
         private boolean inRotation;
+
+        /** Whether the last health check succeeded. */
         private boolean ready;
+
+        /** When a health check succeeded last. */
         private long lastHealthyAt;
 
         Backend(int balancer) {
             this.balancer = balancer;
             zone = testbed.zone(balancer);
-            healthChecks = new BalancerClient(testbed, "front-" + zone, balancer);
-            calls = new BalancerClient(testbed, "clients-" + zone, balancer);
+            healthCheckClient = new BalancerClient(testbed, "front-" + zone, balancer);
+            callClient = new BalancerClient(testbed, "clients-" + zone, balancer);
             testbed.onClockShift(setBack -> lastHealthyAt -= setBack);
         }
 
         private void close() {
-            healthChecks.close();
-            calls.close();
+            healthCheckClient.close();
+            callClient.close();
         }
     }
 
     private final Testbed testbed;
     private final IntConsumer onReady;
     private final List<Backend> fleet = new ArrayList<>();
-    /** The sidecars of upstreams; they get no calls from clients, but have to be ready before the load starts. */
+    /** The sidecars of upstreams. They get no calls from clients, but have to be ready before the load starts. */
     private final List<Backend> sidecars = new ArrayList<>();
 
-    private final Map<String, Integer> nextInZone = new HashMap<>();
+    /** The number of times that a balancer has been chosen, by zone. */
+    private final Map<String, Integer> choicesByZone = new HashMap<>();
+
     private boolean closed;
 
-    /** Starts the health checks; the callback runs whenever a balancer becomes ready. */
+    /** Starts the health checks. The callback runs whenever a balancer becomes ready. */
     FrontProxies(Testbed testbed, IntConsumer onReady) {
         this.testbed = testbed;
         this.onReady = onReady;
@@ -65,13 +72,17 @@
         }
         long startedAt = testbed.now();
         long interval = (long) (testbed.scenario.fleet().healthInterval() * 1e9);
-        backend.healthChecks.call(HttpMessages.get(HEALTH_PATH), "health", startedAt + HEALTH_TIMEOUT, response -> {
-            update(backend, response);
-            testbed.at(startedAt + interval, () -> checkHealth(backend));
-        });
+        backend.healthCheckClient.call(
+                HttpMessages.get(HEALTH_PATH), "health", startedAt + HEALTH_TIMEOUT_NANOS, response -> {
+                    update(backend, response);
+                    testbed.at(startedAt + interval, () -> checkHealth(backend));
+                });
     }
 
-    /** A balancer that responds 503 leaves the rotation at once; one that does not respond, only after some time. */
+    /**
+     * Applies the result of a health check. A balancer that responds with 503 is removed from the rotation immediately. A balancer whose
+     * health checks fail in another way is removed when none has succeeded for the dead timeout.
+     */
     private void update(Backend backend, BalancerClient.Response response) {
         boolean healthy = response.outcome().equals("200");
         if (healthy && !backend.ready) {
@@ -81,32 +92,32 @@
         if (healthy) {
             backend.lastHealthyAt = testbed.now();
             backend.inRotation = true;
-        } else if (response.outcome().equals("503") || silentTooLong(backend)) {
+        } else if (response.outcome().equals("503") || deadTimeoutExceeded(backend)) {
             backend.inRotation = false;
         }
     }
 
-    private boolean silentTooLong(Backend backend) {
+    private boolean deadTimeoutExceeded(Backend backend) {
         return testbed.now() - backend.lastHealthyAt > testbed.scenario.fleet().deadTimeout() * 1e9;
     }
 
-    /** The number of balancers whose last health check succeeded. */
+    /** Returns the number of balancers, including sidecars, whose last health check succeeded. */
     int ready() {
         return (int) (fleet.stream().filter(backend -> backend.ready).count()
                 + sidecars.stream().filter(backend -> backend.ready).count());
     }
 
-    /** The next balancer in the rotation of a zone; null if it is empty. */
+    /** Returns the next balancer in the rotation of a zone; null if none is in rotation. */
     Backend choose(String zone) {
         List<Backend> candidates = fleet.stream()
                 .filter(backend -> backend.inRotation && backend.zone.equals(zone))
                 .toList();
         return candidates.isEmpty()
                 ? null
-                : candidates.get(nextInZone.merge(zone, 1, Integer::sum) % candidates.size());
+                : candidates.get(choicesByZone.merge(zone, 1, Integer::sum) % candidates.size());
     }
 
-    /** Ends the health checks and closes idle connections, so that balancers need not wait for them when they end. */
+    /** Ends the health checks and closes idle connections, so that balancers do not wait for these connections when they drain. */
     @Override
     public void close() {
         closed = true;
--- a/lab/src/main/java/gorsestack/lab/standin/LoadGenerator.java
+++ b/lab/src/main/java/gorsestack/lab/standin/LoadGenerator.java
@@ -15,38 +15,39 @@
 import java.util.stream.IntStream;
 
 /**
- * The clients: an open-loop load of calls, which arrive whatever became of earlier ones, with retries by the client. Confined to the event
- * loop.
+ * Stands in for the clients: generates an open-loop load of calls, whose arrivals do not depend on the progress of earlier calls, and
+ * retries failed calls as clients do. Confined to the event loop.
  */
 public final class LoadGenerator implements AutoCloseable {
-    /** How long after the deadline of a request a response is still waited for, to tell a late one from none. */
-    private static final long LATE_RESPONSE_WAIT = 300_000_000L;
+    /** How long after its deadline a request still waits for a response, so that a late response is distinguished from a missing one. */
+    private static final long LATE_RESPONSE_WAIT_NANOS = 300_000_000L;
 
+    /** The balancer number of a request for which no balancer was in rotation. */
     private static final int NO_BALANCER = -1;
 
-    /** A client adds up to this fraction to the delay that a balancer asks it for. */
+    /** The maximum fraction by which a client extends the delay of a Retry-After header. */
     private static final double RETRY_AFTER_JITTER = 0.2;
 
-    /** A call of a client, with all its tries. */
-    private record Call(int number, Product product, String zone, String tenant, long intended) {}
+    /** A call of a client, which may take several tries. The intended time is that of its arrival. */
+    private record Call(int number, Product product, String zone, String tenant, long intendedAt) {}
 
-    /** One try of a call; it has to be served within its time budget from the intended time on. */
-    private record Try(Call call, int number, long intended, long timeBudget) {
+    /** One try of a call. Its deadline is the time budget in nanoseconds after its intended time. */
+    private record Try(Call call, int number, long intendedAt, long timeBudget) {
         String id() {
             return "c" + call.number + "t" + number;
         }
 
         long deadline() {
-            return intended + timeBudget;
+            return intendedAt + timeBudget;
         }
     }
 
     private final Testbed testbed;
     private final Load load;
-    private final FrontProxies front;
-    private final SplittableRandom arrivals;
-    /** For what clients do, so that it does not change the arrivals. */
-    private final SplittableRandom behavior;
+    private final FrontProxies frontProxies;
+    private final SplittableRandom arrivalRandom;
+    /** Draws the decisions of clients. It is separate, so that these decisions do not change the arrivals. */
+    private final SplittableRandom behaviorRandom;
 
     private final List<Double> zoneWeights;
     private double burstFactor = 1;
@@ -55,17 +56,17 @@
     private int openCalls;
     private long nextArrival;
 
-    /** Starts the front proxies and their health checks; the callback runs whenever a balancer becomes ready. */
+    /** Starts the front proxies and their health checks. The callback runs whenever a balancer becomes ready. */
     public LoadGenerator(Testbed testbed, IntConsumer onReady) {
         this.testbed = testbed;
         load = testbed.scenario.load();
-        arrivals = testbed.random.split();
-        behavior = testbed.random.split();
-        front = new FrontProxies(testbed, onReady);
+        arrivalRandom = testbed.random.split();
+        behaviorRandom = testbed.random.split();
+        frontProxies = new FrontProxies(testbed, onReady);
         zoneWeights = zoneWeights(testbed.scenario.zones().size(), load.zoneImbalance());
     }
 
-    /** The fractions of the load, in even steps from the busiest zone to the quietest. */
+    /** Returns the fraction of the load of each zone. The fractions decrease in equal steps; the first is the last times the imbalance. */
     private static List<Double> zoneWeights(int zones, double imbalance) {
         double[] weights = IntStream.range(0, zones)
                 .mapToDouble(zone -> zones == 1 ? 1 : 1 + (imbalance - 1) * (zones - 1 - zone) / (zones - 1))
@@ -78,12 +79,12 @@
         return Arrays.stream(weights).mapToObj(weight -> weight / total).toList();
     }
 
-    /** The number of balancers that are ready. */
+    /** Returns the number of balancers that are ready. */
     public int ready() {
-        return front.ready();
+        return frontProxies.ready();
     }
 
-    /** The number of calls in progress. */
+    /** Returns the number of calls in progress. */
     public int openCalls() {
         return openCalls;
     }
@@ -99,7 +100,7 @@
         scheduleArrival();
     }
 
-    /** Ends the load; calls in progress go on. */
+    /** Ends the arrival of calls. Calls in progress continue. */
     public void stop() {
         stopped = true;
     }
@@ -107,29 +108,30 @@
     @Override
     public void close() {
         stopped = true;
-        front.close();
+        frontProxies.close();
     }
 
     private void scheduleArrival() {
         if (stopped) {
             return;
         }
-        double interval = -Math.log(1 - arrivals.nextDouble()) / (load.rate() * burstFactor);
-        long at = nextArrival + (long) (interval * 1e9);
-        nextArrival = at;
-        testbed.at(at, () -> {
+        double interval = -Math.log(1 - arrivalRandom.nextDouble()) / (load.rate() * burstFactor);
+        long arrivalAt = nextArrival + (long) (interval * 1e9);
+        nextArrival = arrivalAt;
+        testbed.at(arrivalAt, () -> {
             if (!stopped) {
-                startCall(at);
+                startCall(arrivalAt);
             }
             scheduleArrival();
         });
     }
 
-    private void startCall(long intended) {
-        String zone = testbed.scenario.zones().get(drawIndex(zoneWeights, arrivals.nextDouble(), weight -> weight));
+    private void startCall(long intendedAt) {
+        String zone =
+                testbed.scenario.zones().get(drawIndex(zoneWeights, arrivalRandom.nextDouble(), weight -> weight));
         Product product = draw(testbed.scenario.products(), Product::weight);
         openCalls++;
-        startTry(new Call(calls++, product, zone, drawTenant(), intended), intended, 0);
+        startTry(new Call(calls++, product, zone, drawTenant(), intendedAt), intendedAt, 0);
     }
 
     private String drawTenant() {
@@ -139,10 +141,13 @@
 
     private <T> T draw(List<T> items, ToDoubleFunction<T> weight) {
         double sum = items.stream().mapToDouble(weight).sum();
-        return items.get(drawIndex(items, arrivals.nextDouble() * sum, weight));
+        return items.get(drawIndex(items, arrivalRandom.nextDouble() * sum, weight));
     }
 
-    /** The item into whose part of the range a point falls, if each has a part as long as its weight. */
+    /**
+     * Returns the index of the item whose part of the range contains a point. The parts follow one another from 0, and each is as long as
+     * the weight of its item.
+     */
     private static <T> int drawIndex(List<T> items, double point, ToDoubleFunction<T> weight) {
         double remaining = point;
         int index = 0;
@@ -152,10 +157,10 @@
         return index;
     }
 
-    private void startTry(Call call, long intended, int number) {
+    private void startTry(Call call, long intendedAt, int number) {
         long timeBudget = (long) (call.product.timeoutMs() * load.tryTimeoutFraction() * 1e6);
-        Try current = new Try(call, number, intended, timeBudget);
-        Backend backend = front.choose(call.zone);
+        Try current = new Try(call, number, intendedAt, timeBudget);
+        Backend backend = frontProxies.choose(call.zone);
         if (backend == null) {
             complete(current, NO_BALANCER, Response.notSent("refused", testbed.now()));
         } else {
@@ -165,18 +170,19 @@
 
     private void send(Try current, Backend backend, boolean resent) {
         Call call = current.call;
-        boolean abandons = load.abandonFraction() > 0 && behavior.nextDouble() < load.abandonFraction();
-        long until = abandons
-                ? current.intended + (long) (current.timeBudget * behavior.nextDouble())
-                : current.deadline() + LATE_RESPONSE_WAIT;
-        // The time left counts from when the request is sent, which may be later than intended.
-        double timeLeftMs = Math.max(1, (current.deadline() - testbed.now()) / 1e6);
-        HttpMessages.ServiceRequest request =
-                new HttpMessages.ServiceRequest(call.product, current.id(), "k" + call.number, call.tenant, timeLeftMs);
-        backend.calls.call(HttpMessages.serviceRequest(request), current.id(), until, response -> {
-            Backend other = !resent && closedWhileIdle(current, response) ? front.choose(call.zone) : null;
-            if (other != null) {
-                send(current, other, true);
+        boolean abandons = load.abandonFraction() > 0 && behaviorRandom.nextDouble() < load.abandonFraction();
+        long responseDeadline = abandons
+                ? current.intendedAt + (long) (current.timeBudget * behaviorRandom.nextDouble())
+                : current.deadline() + LATE_RESPONSE_WAIT_NANOS;
+        // The remaining time is counted from when the request is sent, which may be later than intended.
+        double remainingTimeMs = Math.max(1, (current.deadline() - testbed.now()) / 1e6);
+        HttpMessages.ServiceRequest request = new HttpMessages.ServiceRequest(
+                call.product, current.id(), "k" + call.number, call.tenant, remainingTimeMs);
+        backend.callClient.call(HttpMessages.serviceRequest(request), current.id(), responseDeadline, response -> {
+            Backend otherBackend =
+                    !resent && closedWhileIdle(current, response) ? frontProxies.choose(call.zone) : null;
+            if (otherBackend != null) {
+                send(current, otherBackend, true);
             } else {
                 boolean abandoned = abandons && response.outcome().equals("timeout");
                 complete(current, backend.balancer, abandoned ? response.abandoned() : response);
@@ -184,7 +190,10 @@
         });
     }
 
-    /** Whether an idle connection was closed while the request was on its way; HTTP clients then send it again. */
+    /**
+     * Returns whether an idle connection was closed while the request was in transit. HTTP clients then send the request again on another
+     * connection.
+     */
     private boolean closedWhileIdle(Try current, Response response) {
         return response.outcome().equals("closed")
                 && !response.firstOnConnection()
@@ -192,30 +201,31 @@
     }
 
     private void complete(Try current, int balancer, Response response) {
-        boolean retried = retried(current, response);
+        boolean retried = shouldRetry(current, response);
         record(current, balancer, response, !retried);
         if (!retried) {
             openCalls--;
             return;
         }
         double delayMs = Math.max(
-                load.retryDelayMs() * (0.5 + behavior.nextDouble()),
-                response.retryAfter() * 1e3 * (1 + RETRY_AFTER_JITTER * behavior.nextDouble()));
-        long at = testbed.now() + (long) (delayMs * 1e6);
-        testbed.at(at, () -> startTry(current.call, at, current.number + 1));
+                load.retryDelayMs() * (0.5 + behaviorRandom.nextDouble()),
+                response.retryAfter() * 1e3 * (1 + RETRY_AFTER_JITTER * behaviorRandom.nextDouble()));
+        long retryAt = testbed.now() + (long) (delayMs * 1e6);
+        testbed.at(retryAt, () -> startTry(current.call, retryAt, current.number + 1));
     }
 
-    private boolean retried(Try current, Response response) {
-        boolean ended = response.outcome().equals("200") || response.outcome().equals("left");
-        boolean timedOut = testbed.now() - current.call.intended > current.call.product.timeoutMs() * 1e6;
-        if (ended || timedOut || current.number + 1 >= load.maxTries()) {
+    private boolean shouldRetry(Try current, Response response) {
+        boolean finished =
+                response.outcome().equals("200") || response.outcome().equals("left");
+        boolean timedOut = testbed.now() - current.call.intendedAt > current.call.product.timeoutMs() * 1e6;
+        if (finished || timedOut || current.number + 1 >= load.maxTries()) {
             return false;
         }
-        // A single-shot call is retried only if it was not sent, or if the response says that a retry is harmless.
+        // A single-shot call is retried only if it was not sent, or if the status means that a retry is harmless.
         return !current.call.product.singleShot()
                 || response.outcome().equals("429")
                 || response.outcome().equals("503")
-                || response.sent() == Records.NEVER;
+                || response.sentAt() == Records.NEVER;
     }
 
     private void record(Try current, int balancer, Response response, boolean finalTry) {
@@ -228,10 +238,10 @@
                 call.product.name(),
                 call.zone,
                 balancer,
-                current.intended,
-                response.sent(),
+                current.intendedAt,
+                response.sentAt(),
                 current.timeBudget,
-                response.ended(),
+                response.endedAt(),
                 response.outcome(),
                 response.firstOnConnection(),
                 correct,
--- a/lab/src/main/java/gorsestack/lab/standin/MisbehavingClients.java
+++ b/lab/src/main/java/gorsestack/lab/standin/MisbehavingClients.java
@@ -19,26 +19,29 @@
 import java.util.SplittableRandom;
 
 /**
- * Clients that violate the protocol or good manners. Each is entitled to something all the same: an error or a close within three seconds,
- * or one response to each complete request. Confined to the event loop.
+ * Clients that violate the protocol, or that use it in unusual ways. The balancer still has to respond to each of them: by an error or a
+ * close within three seconds, or by one response to each complete request. Otherwise a violation is recorded. Confined to the event loop.
  */
 public final class MisbehavingClients {
     private enum Behavior {
         /** Connects and sends nothing. */
         SILENT,
+        /** Sends a part of the head of a request. */
         HALF_HEAD,
+        /** Sends the head and a part of the body of a request. */
         HALF_BODY,
         /** Sends several requests without waiting for responses. */
         SENDS_AHEAD,
+        /** Sends a request and closes the connection without waiting for the response. */
         SENDS_AND_LEAVES,
-        /** Sends a request with almost no time left. */
+        /** Sends a request with a remaining time of at most 60 ms. */
         LITTLE_TIME
     }
 
     private static final long NANOS_PER_MS = 1_000_000L;
-    private static final long RESPONSE_DEADLINE = 3_000_000_000L;
-    /** For the delay of the lab's event loop and the interval at which balancers check for timeouts. */
-    private static final long TOLERANCE = 400_000_000L;
+    private static final long RESPONSE_TIMEOUT_NANOS = 3_000_000_000L;
+    /** Allows for the delay of the lab's event loop, and for the interval at which balancers check for timeouts. */
+    private static final long TOLERANCE_NANOS = 400_000_000L;
 
     private static final int REQUESTS_AHEAD = 4;
     private static final int REQUEST_TIMEOUT_MS = 1_500;
@@ -47,15 +50,16 @@
     private final Testbed testbed;
     private final SplittableRandom random;
     private boolean running;
-    private int clients;
+    /** The number of clients started so far. */
+    private int startedClients;
 
-    /** Starts no client yet. */
+    /** Creates an instance that starts no client yet. */
     public MisbehavingClients(Testbed testbed) {
         this.testbed = testbed;
         random = testbed.random.split();
     }
 
-    /** Starts clients of these balancers at random times, at a mean rate. */
+    /** Starts clients of the given balancers at random times, with a mean rate. */
     public void start(List<Integer> balancers, double perSecond) {
         running = true;
         startClient(balancers, perSecond);
@@ -71,11 +75,12 @@
             return;
         }
         Behavior behavior = Behavior.values()[random.nextInt(Behavior.values().length)];
-        new Client(behavior, balancers.get(random.nextInt(balancers.size())), clients++).connect();
+        new Client(behavior, balancers.get(random.nextInt(balancers.size())), startedClients++).connect();
         long interval = (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
         testbed.after(interval, () -> startClient(balancers, perSecond));
     }
 
+    /** A client with one connection. */
     private final class Client extends SimpleChannelInboundHandler<ByteBuf> {
         private final Behavior behavior;
         private final int balancer;
@@ -109,18 +114,18 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             connectedAt = testbed.now();
-            int timeLeftMs =
+            int remainingTimeMs =
                     behavior == Behavior.LITTLE_TIME ? 1 + random.nextInt(MAX_LITTLE_TIME_MS) : REQUEST_TIMEOUT_MS;
-            misbehave(ctx, timeLeftMs);
-            long deadline = switch (behavior) {
+            misbehave(ctx, remainingTimeMs);
+            long responseTimeout = switch (behavior) {
                 case SENDS_AHEAD -> REQUESTS_AHEAD * REQUEST_TIMEOUT_MS * NANOS_PER_MS;
-                case LITTLE_TIME -> timeLeftMs * NANOS_PER_MS;
-                default -> RESPONSE_DEADLINE;
+                case LITTLE_TIME -> remainingTimeMs * NANOS_PER_MS;
+                default -> RESPONSE_TIMEOUT_NANOS;
             };
-            testbed.after(deadline + TOLERANCE, () -> check(ctx));
+            testbed.after(responseTimeout + TOLERANCE_NANOS, () -> check(ctx));
         }
 
-        private void misbehave(ChannelHandlerContext ctx, int timeLeftMs) {
+        private void misbehave(ChannelHandlerContext ctx, int remainingTimeMs) {
             switch (behavior) {
                 case SILENT -> {}
                 case HALF_HEAD -> send(ctx, "GET /read HTTP/1.1\r\nHost: s\r\nX-Corr");
@@ -132,21 +137,21 @@
                 case SENDS_AHEAD -> {
                     StringBuilder requests = new StringBuilder();
                     for (int i = 0; i < REQUESTS_AHEAD; i++) {
-                        requests.append(request(id + "a" + i, timeLeftMs));
+                        requests.append(request(id + "a" + i, remainingTimeMs));
                     }
                     send(ctx, requests.toString());
                 }
                 case SENDS_AND_LEAVES ->
-                    ctx.writeAndFlush(bytes(request(id, timeLeftMs))).addListener(f -> {
+                    ctx.writeAndFlush(bytes(request(id, remainingTimeMs))).addListener(f -> {
                         testbed.records.departures.add(new ClientDeparture(id, balancer, testbed.now()));
                         ctx.close();
                     });
-                case LITTLE_TIME -> send(ctx, request(id, timeLeftMs));
+                case LITTLE_TIME -> send(ctx, request(id, remainingTimeMs));
             }
         }
 
-        private static String request(String id, int timeLeftMs) {
-            return "GET /read HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left: " + timeLeftMs
+        private static String request(String id, int remainingTimeMs) {
+            return "GET /read HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left: " + remainingTimeMs
                     + "m\r\n\r\n";
         }
 
@@ -163,15 +168,21 @@
             received.append(bytes.toString(StandardCharsets.ISO_8859_1));
         }
 
+        /** Returns the number of responses received so far. */
         private int responses() {
-            int found = 0;
-            for (int at = received.indexOf("HTTP/1.1 "); at >= 0; at = received.indexOf("HTTP/1.1 ", at + 1)) {
-                found++;
+            int count = 0;
+            for (int index = received.indexOf("HTTP/1.1 ");
+                    index >= 0;
+                    index = received.indexOf("HTTP/1.1 ", index + 1)) {
+                count++;
             }
-            return found;
+            return count;
         }
 
-        /** Checks once, when the time is over or the connection has ended, that the client got what it is entitled to. */
+        /**
+         * Checks once, at the deadline or when the connection has ended, that the balancer responded as it has to, and closes the
+         * connection.
+         */
         private void check(ChannelHandlerContext ctx) {
             if (checked) {
                 return;
@@ -185,6 +196,7 @@
             ctx.close();
         }
 
+        /** Returns a description of the balancer's violation; null if there is none. */
         private String violation(int responses) {
             return switch (behavior) {
                 case SILENT, HALF_HEAD, HALF_BODY ->
--- a/lab/src/main/java/gorsestack/lab/standin/ResponseAnomaly.java
+++ b/lab/src/main/java/gorsestack/lab/standin/ResponseAnomaly.java
@@ -2,18 +2,18 @@
 
 import java.util.Locale;
 
-/** Unusual ways of responding that an HTTP client has to cope with. */
+/** The unusual ways in which an upstream may respond, and which an HTTP client has to handle. */
 public enum ResponseAnomaly {
-    /** Without a length; the response ends with the connection. */
+    /** The response has no length; it ends with the connection. */
     NO_LENGTH,
-    /** A part of the response, then a reset. */
+    /** A part of the response is sent, and then the connection is reset. */
     CUT,
-    /** The same response a second time, a moment later. */
+    /** The same response is sent a second time, shortly after the first. */
     TWICE,
-    /** The connection is closed right after the response, without an announcement. */
+    /** The connection is closed right after the response, without a header that announces it. */
     CLOSES_IDLE;
 
-    /** The anomaly that a kind of fault in a scenario stands for. */
+    /** Returns the anomaly that a kind of fault in a scenario causes. The kind is the name of the anomaly in lower case. */
     public static ResponseAnomaly of(String faultKind) {
         return valueOf(faultKind.toUpperCase(Locale.ROOT));
     }
--- a/lab/src/main/java/gorsestack/lab/standin/ResponseFaults.java
+++ b/lab/src/main/java/gorsestack/lab/standin/ResponseFaults.java
@@ -4,48 +4,51 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Which fractions of an upstream's responses are faulty at the moment, and the draws that decide about each response. */
+/**
+ * The fractions of an upstream's responses that are currently faulty. Draws a random number for each response to decide whether it is
+ * faulty. Confined to the event loop.
+ */
 final class ResponseFaults {
     private final SplittableRandom random;
-    private final Map<ResponseAnomaly, Double> anomalies = new EnumMap<>(ResponseAnomaly.class);
-    private double errors;
-    private double malformed;
-    private double lost;
+    private final Map<ResponseAnomaly, Double> anomalyFractions = new EnumMap<>(ResponseAnomaly.class);
+    private double errorFraction;
+    private double malformedFraction;
+    private double lostFraction;
 
     ResponseFaults(SplittableRandom random) {
         this.random = random;
     }
 
     void setErrors(double fraction) {
-        errors = fraction;
+        errorFraction = fraction;
     }
 
     void setMalformed(double fraction) {
-        malformed = fraction;
+        malformedFraction = fraction;
     }
 
     void setLost(double fraction) {
-        lost = fraction;
+        lostFraction = fraction;
     }
 
     void setAnomaly(ResponseAnomaly anomaly, double fraction) {
-        anomalies.put(anomaly, fraction);
+        anomalyFractions.put(anomaly, fraction);
     }
 
     boolean drawError() {
-        return random.nextDouble() < errors;
+        return random.nextDouble() < errorFraction;
     }
 
     boolean drawMalformed() {
-        return random.nextDouble() < malformed;
+        return random.nextDouble() < malformedFraction;
     }
 
     boolean drawLost() {
-        return random.nextDouble() < lost;
+        return random.nextDouble() < lostFraction;
     }
 
     boolean draw(ResponseAnomaly anomaly) {
-        double fraction = anomalies.getOrDefault(anomaly, 0.0);
+        double fraction = anomalyFractions.getOrDefault(anomaly, 0.0);
         return fraction > 0 && random.nextDouble() < fraction;
     }
 }
--- a/lab/src/main/java/gorsestack/lab/standin/Testbed.java
+++ b/lab/src/main/java/gorsestack/lab/standin/Testbed.java
@@ -15,7 +15,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
 
-/** What all stand-ins of a run share: clock, event loop, links, random numbers and records. Confined to the event loop. */
+/**
+ * Holds what all stand-ins of a run share: the clock, the event loop, the links, the random numbers and the records. Apart from its
+ * immutable fields it is confined to the event loop.
+ */
 public final class Testbed implements CapacityModel.Timer {
     public final Scenario scenario;
     public final EventLoop loop;
@@ -24,18 +27,19 @@
     public final Records records = new Records();
     public final SplittableRandom random;
 
-    /** Datagrams that balancers have sent to each other so far. */
+    /** The number of datagrams that balancers have sent to each other so far. */
     public long datagrams;
-    /** Connections opened to upstreams in the current second. */
+    /** The number of connections opened to upstreams in the current second. */
     public int connectionsOpened;
 
-    /** The ids of requests that reached an upstream. */
+    /** The ids of the requests that have reached an upstream. */
     final Set<String> idsSeenUpstream = new HashSet<>();
 
     private final List<LongConsumer> clockShiftListeners = new ArrayList<>();
+    /** The time of System.nanoTime at which the clock reads zero. */
     private long startNanos = System.nanoTime();
 
-    /** A testbed whose clock has not been set yet; all random numbers derive from the seed. */
+    /** Creates a testbed whose clock starts at zero. All random numbers of the stand-ins derive from the seed. */
     public Testbed(Scenario scenario, EventLoop loop, Addresses addresses, long seed) {
         this.scenario = scenario;
         this.loop = loop;
@@ -43,7 +47,7 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Sets the clock so that it reads zero after the warm-up; the times of the warm-up are negative. */
+    /** Sets the clock so that it reads zero after the warm-up. The times of the warm-up are negative. */
     public void startClock(long warmUpNanos) {
         long before = now();
         startNanos = System.nanoTime() + warmUpNanos;
@@ -51,7 +55,9 @@
         clockShiftListeners.forEach(listener -> listener.accept(setBack));
     }
 
-    /** Calls the listener with the nanoseconds by which the clock is set back, so that it can adjust the times that it has stored. */
+    /**
+     * Registers a listener that is called with the nanoseconds by which the clock is set back, so that it adjusts the times it has stored.
+     */
     void onClockShift(LongConsumer listener) {
         clockShiftListeners.add(listener);
     }
@@ -76,12 +82,12 @@
         }
     }
 
-    /** Schedules a task for a time of the clock; the returned task cancels it. */
+    /** Schedules a task for a time of the clock. The returned task cancels it. */
     public Runnable at(long time, Runnable task) {
         return after(time - now(), task);
     }
 
-    /** The zone of the balancer or upstream of a number; both are distributed over the zones in turn. */
+    /** Returns the zone of the balancer or upstream with a number. Both are assigned to the zones in round-robin order. */
     public String zone(int number) {
         return scenario.zones().get(number % scenario.zones().size());
     }
--- a/lab/src/main/java/gorsestack/lab/standin/Upstream.java
+++ b/lab/src/main/java/gorsestack/lab/standin/Upstream.java
@@ -12,34 +12,38 @@
 import java.util.List;
 import java.util.Map;
 
-/** A stand-in for an upstream, with one listener for each balancer that may call it. Confined to the event loop. */
+/**
+ * A stand-in for an upstream, with one listener for each balancer that may call it. Faults make it crash, hang, slow down, drain or respond
+ * incorrectly. Confined to the event loop.
+ */
 public final class Upstream implements AutoCloseable {
-    /** The sidecar of an upstream that calls no further tier. */
+    /** The sidecar number of an upstream that calls no other tier. */
     static final int NO_SIDECAR = -1;
 
-    /** Every third upstream is of the slow type. */
-    private static final int TYPES = 3;
+    /** One of this number of upstreams is of the slow type. */
+    private static final int SLOW_TYPE_INTERVAL = 3;
 
     public final int number;
     public final int tier;
     public final String zone;
     public final int cell;
-    /** When it started, in milliseconds since the epoch; 0 for one that has been warm from the beginning. */
+    /** The start time in milliseconds since the epoch; 0 if the upstream has been warm from the beginning. */
     final long startedAtMs;
 
     final Tier settings;
     final CapacityModel capacity;
     final ResponseFaults faults;
-    /** Shared by the upstreams of its tier. */
-    final IdempotencyStore keys;
-    /** For calls to the next tier; null at the last tier. */
-    final BalancerClient nextTier;
+    /** The idempotency keys, which all upstreams of the tier share. */
+    final IdempotencyStore idempotencyStore;
+    /** The client for calls to the next tier, through the sidecar; null at the last tier. */
+    final BalancerClient nextTierClient;
 
     private final Testbed testbed;
     private final Map<Integer, FaultyListener> listeners = new HashMap<>();
     private boolean up = true;
     private boolean draining;
-    private int nextTierCalls;
+    /** The number of calls to the next tier so far. */
+    private int nextTierCallCount;
 
     Upstream(
             Testbed testbed,
@@ -47,7 +51,7 @@
             int tier,
             String zone,
             int cell,
-            IdempotencyStore keys,
+            IdempotencyStore idempotencyStore,
             List<Integer> balancers,
             int sidecar,
             boolean warm) {
@@ -56,14 +60,14 @@
         this.tier = tier;
         this.zone = zone;
         this.cell = cell;
-        this.keys = keys;
+        this.idempotencyStore = idempotencyStore;
         settings = testbed.scenario.tiers().get(tier);
         faults = new ResponseFaults(testbed.random);
         startedAtMs = warm ? 0 : System.currentTimeMillis();
         capacity = new CapacityModel(testbed, capacitySettings(), warm, this::slowStartOverloaded);
         testbed.onClockShift(capacity::shiftClock);
-        nextTier = sidecar == NO_SIDECAR ? null : new BalancerClient(testbed, name(), sidecar);
-        balancers.forEach(this::listenFor);
+        nextTierClient = sidecar == NO_SIDECAR ? null : new BalancerClient(testbed, name(), sidecar);
+        balancers.forEach(this::listen);
     }
 
     private CapacityModel.Settings capacitySettings() {
@@ -78,18 +82,18 @@
                 rules.overloadFactor());
     }
 
-    private void listenFor(int balancer) {
+    private void listen(int balancer) {
         FaultyListener listener = new FaultyListener(
                 testbed.loop,
                 testbed.addresses.upstream(balancer, number),
                 testbed.links.between("n" + balancer, name()),
                 testbed.random.split(),
-                channel -> accepted(channel, balancer));
+                channel -> initializeConnection(channel, balancer));
         listeners.put(balancer, listener);
         listener.open();
     }
 
-    private void accepted(SocketChannel channel, int balancer) {
+    private void initializeConnection(SocketChannel channel, int balancer) {
         testbed.connectionsOpened++;
         testbed.records.connectionsOpened.add(new ConnectionOpened(balancer, number, testbed.now()));
         ArrivalTimeHandler arrivals = new ArrivalTimeHandler(testbed);
@@ -97,58 +101,60 @@
                 .addLast(
                         arrivals,
                         new HttpServerCodec(),
-                        new HttpObjectAggregator(HttpMessages.MAX_BODY),
+                        new HttpObjectAggregator(HttpMessages.MAX_BODY_BYTES),
                         new UpstreamConnection(testbed, this, balancer, arrivals));
     }
 
+    /** Records an overload, after which the upstream crashes. */
     private void slowStartOverloaded(CapacityModel.Overload overload) {
         testbed.records.slowStartOverloads.add(
                 new SlowStartOverload(number, testbed.now(), overload.offeredMs(), overload.capacityMs()));
         testbed.loop.execute(this::crash);
     }
 
-    /** The name under which discovery lists it. */
+    /** Returns the name under which discovery lists the upstream. */
     public String name() {
         return "u" + number;
     }
 
-    /** Whether it is of the slow type. */
+    /** Returns whether the upstream is of the slow type. */
     boolean slow() {
-        return number % TYPES == TYPES - 1;
+        return number % SLOW_TYPE_INTERVAL == SLOW_TYPE_INTERVAL - 1;
     }
 
-    /** The number of connections that are open. */
+    /** Returns the number of established connections. */
     public int connections() {
         return listeners.values().stream().mapToInt(FaultyListener::connections).sum();
     }
 
-    /** Whether it is running. */
+    /** Returns whether the upstream is running, that is, has not crashed. */
     public boolean up() {
         return up;
     }
 
-    /** Whether it rejects all requests now: it has too many connections, or it is draining and has finished its work. */
+    /** Returns whether all requests are rejected now, because there are too many connections or a drain has finished all work. */
     boolean rejecting() {
         return connections() > settings.connections() || (draining && capacity.jobs() == 0);
     }
 
+    /** Returns whether each request causes calls to the next tier. */
     boolean callsNextTier() {
-        return nextTier != null && settings.callsToNextTier() > 0;
+        return nextTierClient != null && settings.callsToNextTier() > 0;
     }
 
-    /** The id for one more call to the next tier on behalf of a request. */
+    /** Returns a new id for a call to the next tier on behalf of a request. */
     String nextTierId(String requestId) {
-        return requestId + "." + number + "." + nextTierCalls++;
+        return requestId + "." + number + "." + nextTierCallCount++;
     }
 
-    /** Simulates the death of the process: connections are reset, new ones refused. */
+    /** Simulates the death of the process: resets all connections and refuses new ones. */
     public void crash() {
         up = false;
         capacity.crash();
         listeners.values().forEach(listener -> listener.refuse(true));
     }
 
-    /** Starts again under the same name, with a slow start. */
+    /** Restarts the upstream under the same name, with a slow start. */
     public void restart() {
         up = true;
         draining = false;
@@ -156,37 +162,37 @@
         listeners.values().forEach(FaultyListener::open);
     }
 
-    /** Finishes the work in progress, and rejects what arrives after that. */
+    /** Starts a drain: all requests are rejected once no work is in progress. */
     public void drain() {
         draining = true;
     }
 
-    /** Stops processing without closing connections, or resumes it. */
+    /** Pauses all work without closing connections, or resumes it. */
     public void setHanging(boolean hanging) {
         capacity.setHanging(hanging);
     }
 
-    /** Makes each request take so many times as long. */
+    /** Multiplies the duration of all work that starts from now on by a factor. */
     public void setSlowdown(double factor) {
         capacity.setSlowdown(factor);
     }
 
-    /** Makes a fraction of the requests end with an error status. */
+    /** Sets the fraction of the requests that fail with an error status. */
     public void setErrors(double fraction) {
         faults.setErrors(fraction);
     }
 
-    /** Makes a fraction of the responses malformed. */
+    /** Sets the fraction of the responses that are malformed. */
     public void setMalformedResponses(double fraction) {
         faults.setMalformed(fraction);
     }
 
-    /** Makes a fraction of the requests be executed without a response. */
+    /** Sets the fraction of the requests that are executed without a response. */
     public void setLostResponses(double fraction) {
         faults.setLost(fraction);
     }
 
-    /** Makes a fraction of the responses anomalous. */
+    /** Sets the fraction of the responses that have an anomaly. */
     public void setAnomaly(ResponseAnomaly anomaly, double fraction) {
         faults.setAnomaly(anomaly, fraction);
     }
--- a/lab/src/main/java/gorsestack/lab/standin/UpstreamConnection.java
+++ b/lab/src/main/java/gorsestack/lab/standin/UpstreamConnection.java
@@ -15,31 +15,38 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
 
-/** A balancer's connection to an upstream, with one request at a time; records the outcome of each. */
+/**
+ * The upstream's end of a connection from a balancer, which carries one request at a time. It processes the requests, applies the response
+ * faults of the upstream, and records the outcome of each attempt. Confined to the event loop.
+ */
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
-    /** How long after a response its duplicate is sent: less than the 10 ms for which balancers watch an idle connection. */
-    private static final long DUPLICATE_RESPONSE_DELAY = 2_000_000L;
+    /**
+     * How long after a response its duplicate is sent. Balancers watch an idle connection for 10 ms, so the duplicate must arrive within
+     * that time.
+     */
+    private static final long DUPLICATE_RESPONSE_DELAY_NANOS = 2_000_000L;
 
     private static final String MALFORMED_RESPONSE = "HTTP/1.1 2x0 ?\r\n\u0001\u0002: \r\n\r\n";
 
     private final Testbed testbed;
     private final Upstream upstream;
     private final int balancer;
-    private final ArrivalTimeHandler arrivals;
+    private final ArrivalTimeHandler arrivalTimes;
+    /** The job of the last attempt; null if there was none or the queue was full. */
     private CapacityModel.Job job;
     /** The attempt that has no outcome yet; null if there is none. */
-    private UpstreamAttempt inProgress;
+    private UpstreamAttempt attemptInProgress;
 
-    UpstreamConnection(Testbed testbed, Upstream upstream, int balancer, ArrivalTimeHandler arrivals) {
+    UpstreamConnection(Testbed testbed, Upstream upstream, int balancer, ArrivalTimeHandler arrivalTimes) {
         this.testbed = testbed;
         this.upstream = upstream;
         this.balancer = balancer;
-        this.arrivals = arrivals;
+        this.arrivalTimes = arrivalTimes;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-        long startedAt = arrivals.takeArrivalTime();
+        long startedAt = arrivalTimes.takeArrivalTime();
         String id = request.headers().get(HttpMessages.CORRELATION_ID, "");
         Product product = product(request.uri());
         if (id.isEmpty() || product == null || request.decoderResult().isFailure()) {
@@ -64,6 +71,7 @@
         handle(ctx, attempt, product);
     }
 
+    /** Returns the product that a path names; null if the scenario has none of that name. */
     private Product product(String uri) {
         String name = uri.substring(1).split("[/?]", 2)[0];
         return testbed.scenario.products().stream()
@@ -85,10 +93,11 @@
         }
     }
 
+    /** Returns whether the upstream has already received the idempotency key of an attempt, and records the key otherwise. */
     private boolean repeats(UpstreamAttempt attempt, Product product) {
         long window = (long) (product.repeatWindow() * 1e9);
         return !attempt.key().isEmpty()
-                && upstream.keys.repeats(keyScope(product), attempt.key(), attempt.receivedAt(), window);
+                && upstream.idempotencyStore.repeats(keyScope(product), attempt.key(), attempt.receivedAt(), window);
     }
 
     private String keyScope(Product product) {
@@ -100,10 +109,10 @@
     }
 
     private void process(ChannelHandlerContext ctx, UpstreamAttempt attempt, Product product) {
-        // Drawn from the id alone, so that the work of a run does not depend on the order of requests.
+        // The work is derived from the id alone, so that it does not depend on the order of the requests.
         double work = product.workMs() * Math.exp(product.workSigma() * gaussian(attempt.id()));
         boolean callsNextTier = upstream.callsNextTier();
-        inProgress = attempt;
+        attemptInProgress = attempt;
         job = upstream.capacity.accept(callsNextTier ? work / 2 : work, accepted -> {
             if (callsNextTier) {
                 callNextTier(ctx, accepted, attempt, product, upstream.settings.callsToNextTier(), work / 2);
@@ -112,7 +121,7 @@
             }
         });
         if (job == null) {
-            inProgress = null;
+            attemptInProgress = null;
             reject(ctx, attempt);
         }
     }
@@ -122,7 +131,7 @@
     }
 
     /** Makes the remaining calls to the next tier one after another, and then does the second half of the work. */
-    @SuppressWarnings("ReferenceEquality") // the same attempt, not an equal one
+    @SuppressWarnings("ReferenceEquality") // Compares with the same attempt, not with an equal one.
     private void callNextTier(
             ChannelHandlerContext ctx,
             CapacityModel.Job accepted,
@@ -135,27 +144,27 @@
             return;
         }
         String id = upstream.nextTierId(attempt.id());
-        long until = testbed.now() + (long) (product.timeoutMs() * 1e6);
+        long deadline = testbed.now() + (long) (product.timeoutMs() * 1e6);
         HttpMessages.ServiceRequest request =
                 new HttpMessages.ServiceRequest(product, id, attempt.key(), "", product.timeoutMs());
-        upstream.nextTier.call(HttpMessages.serviceRequest(request), id, until, response -> {
+        upstream.nextTierClient.call(HttpMessages.serviceRequest(request), id, deadline, response -> {
             if (response.outcome().equals("200")) {
                 callNextTier(ctx, accepted, attempt, product, remainingCalls - 1, remainingWork);
-            } else if (inProgress == attempt) {
+            } else if (attemptInProgress == attempt) {
                 upstream.capacity.release(accepted);
-                inProgress = null;
+                attemptInProgress = null;
                 fail(ctx, attempt, "behind");
             }
         });
     }
 
-    @SuppressWarnings("ReferenceEquality") // the same attempt, not an equal one
+    @SuppressWarnings("ReferenceEquality") // Compares with the same attempt, not with an equal one.
     private void finish(ChannelHandlerContext ctx, CapacityModel.Job done, UpstreamAttempt attempt) {
         upstream.capacity.release(done);
-        if (inProgress != attempt) {
+        if (attemptInProgress != attempt) {
             return;
         }
-        inProgress = null;
+        attemptInProgress = null;
         if (upstream.faults.drawLost()) {
             record(attempt, "answer lost", true, Records.NEVER);
         } else if (upstream.faults.drawMalformed()) {
@@ -173,18 +182,19 @@
         }
     }
 
-    /** The body of a response, by which clients recognize that an upstream produced it for their request. */
+    /** Returns the body of a response. Clients recognize by it that an upstream produced the response for their request. */
     private String body(UpstreamAttempt attempt) {
         return attempt.id() + " " + upstream.name();
     }
 
+    /** Sends a valid response, and a duplicate or the close of the connection after it if an anomaly is drawn. */
     private void serve(ChannelHandlerContext ctx, UpstreamAttempt attempt) {
         String body = body(attempt);
         ChannelFuture written = respond(ctx, HttpResponseStatus.OK, body);
         recordWhenWritten(written, attempt, "served", true);
         if (upstream.faults.draw(ResponseAnomaly.TWICE)) {
             testbed.after(
-                    DUPLICATE_RESPONSE_DELAY,
+                    DUPLICATE_RESPONSE_DELAY_NANOS,
                     () -> writeRaw(ctx, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body));
         }
         if (upstream.faults.draw(ResponseAnomaly.CLOSES_IDLE)) {
@@ -192,6 +202,7 @@
         }
     }
 
+    /** Sends the head and a part of the body of a response, and resets the connection. */
     private static void respondPartially(ChannelHandlerContext ctx, String part) {
         writeRaw(ctx, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + part)
                 .addListener(f -> {
@@ -205,7 +216,7 @@
         respond(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR, reason);
     }
 
-    /** Responds that the request was not processed, so that another upstream may be tried. */
+    /** Responds that the request was not processed, so that the balancer may send it to another upstream. */
     private void reject(ChannelHandlerContext ctx, UpstreamAttempt attempt) {
         FullHttpResponse response = HttpMessages.response(HttpResponseStatus.SERVICE_UNAVAILABLE, "full");
         response.headers().set("X-Unprocessed", "1");
@@ -216,7 +227,7 @@
         return ctx.writeAndFlush(HttpMessages.response(status, body));
     }
 
-    /** Writes bytes past the HTTP encoder. */
+    /** Writes bytes that the HTTP encoder does not process. */
     private static ChannelFuture writeRaw(ChannelHandlerContext ctx, String text) {
         return ctx.channel()
                 .pipeline()
@@ -234,14 +245,14 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (inProgress != null) {
+        if (attemptInProgress != null) {
             boolean finishes = upstream.settings.finishesAbandonedWork();
             boolean executed = job == null || job.running() || finishes;
             if ((testbed.scenario.rules().mayCancel() || !executed) && !finishes) {
                 upstream.capacity.release(job);
             }
-            record(inProgress, upstream.up() ? "cancelled" : "died", executed, Records.NEVER);
-            inProgress = null;
+            record(attemptInProgress, upstream.up() ? "cancelled" : "died", executed, Records.NEVER);
+            attemptInProgress = null;
         }
         ctx.fireChannelInactive();
     }
--- a/lab/src/main/java/gorsestack/lab/standin/UpstreamPool.java
+++ b/lab/src/main/java/gorsestack/lab/standin/UpstreamPool.java
@@ -5,23 +5,23 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** All upstreams of a run, also those that have been replaced. Confined to the event loop. */
+/** Starts and holds all upstreams of a run, including those that have been replaced. Confined to the event loop. */
 public final class UpstreamPool implements AutoCloseable {
-    /** Addresses have room for no more. */
+    /** The maximum number of upstreams. Each needs a last byte in its address that no other upstream, relay or discovery uses. */
     private static final int MAX_UPSTREAMS = 250;
 
     /** The upstreams by their numbers. */
     public final List<Upstream> all = new ArrayList<>();
 
     private final Testbed testbed;
-    private final List<IdempotencyStore> keysByTier = new ArrayList<>();
+    private final List<IdempotencyStore> idempotencyStores = new ArrayList<>();
 
-    /** Starts the upstreams of all tiers, warm. */
+    /** Starts the upstreams of all tiers, warm. Those of every tier but the last one get the numbers of their sidecars. */
     public UpstreamPool(Testbed testbed) {
         this.testbed = testbed;
         int sidecar = testbed.scenario.fleet().balancers();
         for (int tier = 0; tier < testbed.scenario.tiers().size(); tier++) {
-            keysByTier.add(new IdempotencyStore());
+            idempotencyStores.add(new IdempotencyStore());
             Tier settings = testbed.scenario.tiers().get(tier);
             for (int i = 0; i < settings.upstreams(); i++) {
                 int ownSidecar = lastTier(tier) ? Upstream.NO_SIDECAR : sidecar++;
@@ -34,31 +34,32 @@
         return tier + 1 == testbed.scenario.tiers().size();
     }
 
-    /** The balancers that call a tier: those of the fleet, or the sidecars of the tier before. */
+    /** Returns the balancers that call a tier: those of the fleet for the first tier, otherwise the sidecars of the previous tier. */
     public List<Integer> callers(int tier) {
         int first = 0;
         int count = testbed.scenario.fleet().balancers();
-        for (int before = 0; before < tier; before++) {
+        for (int earlierTier = 0; earlierTier < tier; earlierTier++) {
             first += count;
-            count = testbed.scenario.tiers().get(before).upstreams();
+            count = testbed.scenario.tiers().get(earlierTier).upstreams();
         }
         return IntStream.range(first, first + count).boxed().toList();
     }
 
-    /** Starts an upstream, in slow start, that is to replace another one. */
-    public Upstream addReplacement(Upstream old) {
-        int sidecar = lastTier(old.tier)
+    /** Starts an upstream that replaces another one in the same tier, zone and cell. It begins with a slow start. */
+    public Upstream addReplacement(Upstream replaced) {
+        int sidecar = lastTier(replaced.tier)
                 ? Upstream.NO_SIDECAR
-                : testbed.scenario.fleet().balancers() + old.number;
-        return add(old.tier, old.zone, old.cell, sidecar, false);
+                : testbed.scenario.fleet().balancers() + replaced.number;
+        return add(replaced.tier, replaced.zone, replaced.cell, sidecar, false);
     }
 
     private Upstream add(int tier, String zone, int cell, int sidecar, boolean warm) {
         if (all.size() >= MAX_UPSTREAMS) {
-            throw new IllegalStateException("more than " + MAX_UPSTREAMS + " upstreams in one run");
+            throw new IllegalStateException(
+                    "cannot add an upstream: the addresses of a run are enough for " + MAX_UPSTREAMS + " upstreams");
         }
-        Upstream added =
-                new Upstream(testbed, all.size(), tier, zone, cell, keysByTier.get(tier), callers(tier), sidecar, warm);
+        Upstream added = new Upstream(
+                testbed, all.size(), tier, zone, cell, idempotencyStores.get(tier), callers(tier), sidecar, warm);
         all.add(added);
         return added;
     }
