--- a/balancer/src/main/java/gorsestack/settings/BufferLimits.java
+++ b/balancer/src/main/java/gorsestack/settings/BufferLimits.java
@@ -1,22 +1,23 @@
 package gorsestack.settings;
 
 /**
- * Limits on what is held in memory. The totals are shares of the heap that the deployment file grants.
+ * Holds the limits on buffered data. The totals are fractions of the heap size in the deployment file. Immutable.
  *
- * @param headBytes largest message head
- * @param bodyBytes largest body that is buffered; a larger one is streamed
- * @param streamedBodyBytes largest body that is streamed; bodies reach 32 MB
- * @param relayBytes body bytes that may wait to be written for one message
- * @param totalRelayBytes the same for all messages together: a seventh of the heap
- * @param unroutedBodyBytes body bytes read while no upstream has been found yet, so that a disconnect of the client is seen;
- *     some milliseconds of reading, and a third of what all messages may hold
- * @param bufferedResponseBytes largest response that is buffered until it is complete
- * @param maxBufferedResponses how many responses may be buffered at once: with the copies being written, a sixth of the heap
- * @param readAheadBytes bytes that one connection may have read before the event loop takes them; unlimited, 60 MB at full
- *     speed would exceed the heap
+ * @param headBytes the largest message head
+ * @param bodyBytes the largest body that is buffered; larger ones are streamed
+ * @param streamedBodyBytes the largest body that is streamed; bodies reach 32 MB
+ * @param relayBytes the body bytes that may wait to be written for one message
+ * @param totalRelayBytes the body bytes that may wait to be written for all messages together: a seventh of the heap
+ * @param unroutedBodyBytes the body bytes that are read before an upstream has been found, so that a disconnect of the client is
+ *     detected; some milliseconds of reading, and a third of what all messages may hold
+ * @param bufferedResponseBytes the largest response that is buffered until it is complete
+ * @param maxBufferedResponses the number of responses that may be buffered at the same time; together with the copies that are being
+ *     written, they take a sixth of the heap
+ * @param readAheadBytes the bytes that may have been read from one connection before the event loop handles them. Without a limit, 60 MB
+ *     that arrive at full speed would exceed the heap.
  * @param totalReadAheadBytes the same for all connections together: a tenth of the heap
- * @param discardBytes bytes read and dropped while waiting for the peer to close; some milliseconds of reading
- * @param discoveryLineBytes longest line that is accepted from discovery
+ * @param discardBytes the bytes that are read and dropped while waiting for the other side to close; some milliseconds of reading
+ * @param discoveryLineBytes the longest line that is accepted from discovery
  */
 public record BufferLimits(
         int headBytes,
@@ -35,7 +36,7 @@
     private static final int KIB = 1 << 10;
     private static final int MIB = 1 << 20;
 
-    /** Returns the limits, which are the same at every deployment. */
+    /** Returns the limits, which are the same in every deployment. */
     static BufferLimits standard() {
         int headBytes = 16 * KIB;
         int bodyBytes = 64 * KIB;
--- a/balancer/src/main/java/gorsestack/settings/ClientLimits.java
+++ b/balancer/src/main/java/gorsestack/settings/ClientLimits.java
@@ -3,22 +3,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Limits on the connections that clients open to this balancer.
+ * Holds the limits on the connections that clients open to this balancer. Immutable.
  *
- * @param maxConnections connections that clients may hold; fewer than the upstreams' half, which also covers idle connections
- * @param spareConnections accepted over {@code maxConnections} while older connections are being closed to make room
- * @param listenBacklog connections the system may queue before they are accepted
- * @param requestHeadTimeoutNanos longest time from connecting until the request head is complete. A client may take 2 s; an
- *     error response is due 3 s after connecting, and connections are checked every quarter of a second.
- * @param stallTimeoutNanos longest pause within a request body
- * @param maxNanosPerBodyByte slowest permitted request body, a quarter of the rate that slow legitimate clients reach
- * @param idleTimeoutNanos after this an idle connection may be closed, as the protocol allows
- * @param firstRequestGraceNanos a new connection is not treated as idle before this: clients send at once, but on a loaded
- *     core the request is read some tens of milliseconds later
- * @param closeLingerNanos how long a connection stays open for the client to read its error response; short, because a flood
- *     of malformed requests occupies a connection each for as long
- * @param evacuationIdleTimeoutNanos idle time after which a connection is closed while clients are asked to leave. A client has
- *     4 s to leave and most do so with a response; one that is closed while idle may just be sending a request.
+ * @param maxConnections the number of connections that clients may hold; less than the upstreams' half of the sockets, which also covers
+ *     idle connections
+ * @param spareConnections the number of connections accepted beyond {@code maxConnections} while older ones are being closed
+ * @param listenBacklog the number of connections that the system may queue before they are accepted
+ * @param requestHeadTimeoutNanos the longest time from connecting until the request head is complete. A client may take 2 s; an error
+ *     response is due 3 s after connecting, and connections are checked every quarter of a second.
+ * @param stallTimeoutNanos the longest pause within a request body
+ * @param maxNanosPerBodyByte the longest time per byte of a request body; the resulting rate is a quarter of what slow legitimate
+ *     clients reach
+ * @param idleTimeoutNanos the time after which an idle connection may be closed, as the protocol allows
+ * @param firstRequestGraceNanos the time during which a new connection is not treated as idle. Clients send immediately, but on a loaded
+ *     core the request is read some tens of milliseconds later.
+ * @param closeLingerNanos how long a connection stays open so that the client can read its error response. It is short because, in a
+ *     flood of malformed requests, each request occupies a connection for this time.
+ * @param evacuationIdleTimeoutNanos the idle time after which a connection is closed while clients are asked to disconnect. A client has
+ *     4 s to disconnect, and most do so after a response; a connection that is closed while idle may be just about to carry a request.
  */
 public record ClientLimits(
         int maxConnections,
@@ -32,13 +34,13 @@
         long closeLingerNanos,
         long evacuationIdleTimeoutNanos) {
 
-    /** Half of the sockets are for clients, less these, which cover clients that misbehave. */
+    /** The connections subtracted from the clients' half of the sockets, as a reserve for misbehaving clients. */
     private static final int RESERVED_CONNECTIONS = 8;
 
     /**
      * Returns the limits for a number of usable sockets.
      *
-     * @param sockets descriptors left for clients and upstreams together
+     * @param sockets the descriptors available to clients and upstreams together
      */
     static ClientLimits of(int sockets) {
         int maxConnections = sockets / 2 - RESERVED_CONNECTIONS;
@@ -64,7 +66,7 @@
                 evacuationIdleTimeoutNanos);
     }
 
-    /** Returns how many connections may be open at once; beyond it none is accepted. */
+    /** Returns the number of connections that may be open at the same time; none is accepted beyond it. */
     public int maxAccepted() {
         return maxConnections + spareConnections;
     }
--- a/balancer/src/main/java/gorsestack/settings/DiscoveryTimings.java
+++ b/balancer/src/main/java/gorsestack/settings/DiscoveryTimings.java
@@ -3,19 +3,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Timings of the watch on service discovery. An update has to be in effect 6 s after discovery had it
- * and could be reached. So for each way in which a watch can fail,
- * {@code watchSilence + reconnectJitter + response + timer delay} and {@code time lost + retry + response + timer delay} stay
- * within that deadline.
+ * Holds the timings of the watch on service discovery, for the layer that talks to discovery. Immutable.
  *
- * @param watchSilenceNanos silence after which a watch is considered lost: two of discovery's periods of 2 s and a part of one
- * @param reconnectJitterNanos spreads the polls of balancers whose watches ended together
- * @param connectTimeoutNanos longest connect to discovery; a reachable one takes milliseconds, some tens on a loaded core. An
- *     agent that pushes lists runs on this host.
- * @param maxRetryDelayNanos longest delay before a retry, less the time already lost. Where lists are pushed, the drain grace
- *     has to cover the refused connect, the retry and the response, and nobody else polls that agent.
- * @param firstUpdateTimeoutNanos how long a new watch may take for its first update. A reload counts as complete 4 s after
- *     SIGHUP: long enough for a response, short enough for a retry.
+ * <p>An update has to be in effect 6 s after discovery has it and is reachable. Therefore, for each way in which a watch can fail,
+ * {@code watchSilence + reconnectJitter + response + timer delay} and {@code time lost + retry + response + timer delay} stay within that
+ * deadline.
+ *
+ * @param watchSilenceNanos the silence after which a watch is considered lost; slightly more than two of discovery's periods of 2 s
+ * @param reconnectJitterNanos the range over which the polls of balancers are spread whose watches ended together
+ * @param connectTimeoutNanos the longest time to connect to discovery. Connecting to a reachable discovery takes milliseconds, or some
+ *     tens of them on a loaded core. An agent that pushes lists runs on this host.
+ * @param maxRetryDelayNanos the longest delay before a retry, from which the time already lost is subtracted. If lists are pushed, the
+ *     drain grace has to cover the refused connect, the retry and the response, and no other balancer polls that agent.
+ * @param firstUpdateTimeoutNanos the longest time until the first update of a new watch. A reload has to be complete 4 s after SIGHUP;
+ *     the timeout is long enough for a response and short enough for a retry.
  */
 public record DiscoveryTimings(
         long watchSilenceNanos,
@@ -25,15 +26,16 @@
         long firstUpdateTimeoutNanos) {
 
     private static final long UPDATE_DEADLINE_NANOS = TimeUnit.MILLISECONDS.toNanos(6_000);
-    /** Connect and first line of a reachable discovery. */
+    /** The time in which a reachable discovery accepts a connection and sends its first line. */
     private static final long RESPONSE_NANOS = TimeUnit.MILLISECONDS.toNanos(750);
-    /** Delay of reads and timers on a slow core. */
+    /** The delay of reads and timers on a slow core. */
     private static final long TIMER_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     /**
      * Returns the timings for one deployment.
      *
-     * @param pushed whether an agent on this host pushes the lists; otherwise discovery is polled
+     * @param pushed whether an agent on this host pushes the lists; otherwise the balancer polls discovery
+     * @param drainGraceNanos how long requests may still be sent to an upstream that drains
      */
     static DiscoveryTimings of(boolean pushed, long drainGraceNanos) {
         long reconnectJitterNanos = TimeUnit.MILLISECONDS.toNanos(500);
--- a/balancer/src/main/java/gorsestack/settings/Limits.java
+++ b/balancer/src/main/java/gorsestack/settings/Limits.java
@@ -3,16 +3,17 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Every size, count and time of the program, by subject; made once at the start. What the factories state as such belongs to this
- * program, to the protocol or to discovery, and is the same at every deployment; what differs comes from the settings.
+ * Holds every size, count and time limit of the program, grouped by subject. Derived once at the start; immutable. Values that the
+ * factories define as constants follow from this program, the protocol or discovery and are the same in every deployment; values that
+ * differ between deployments are derived from the settings.
  *
- * @param client connections of clients
- * @param upstream connections to upstreams
- * @param buffer memory
- * @param discovery the watch on service discovery
- * @param shutdown the graceful shutdown
- * @param admin the admin listener
- * @param call calls, and the checks on them
+ * @param client the limits on connections of clients
+ * @param upstream the limits on connections to upstreams
+ * @param buffer the limits on buffered data
+ * @param discovery the timings of the watch on service discovery
+ * @param shutdown the timings of the graceful shutdown
+ * @param admin the limits on the admin listener
+ * @param call the timings of calls and of the checks on them
  */
 public record Limits(
         ClientLimits client,
@@ -24,9 +25,9 @@
         CallTimings call) {
 
     static final long NANOS_PER_MILLI = 1_000_000;
-    /** The JVM holds 19 to 30 descriptors of its own (jar, modules, selectors, log); operators have up to 16 more. */
+    /** Descriptors for other uses: the JVM itself needs 19 to 30 (jar, modules, selectors, log), operators up to 16 more. */
     private static final int RESERVED_DESCRIPTORS = 48;
-    /** SIGKILL waits for the longest client timeout, but no longer than for one of 3 s. */
+    /** The supervisor delays SIGKILL by the longest client timeout, but by no more than this. */
     private static final double MAX_SHUTDOWN_TIMEOUT_MILLIS = 3_000;
 
     private static final double DEFAULT_DRAIN_GRACE_MILLIS = 2_000;
@@ -34,8 +35,8 @@
     /**
      * Derives all limits.
      *
-     * @param limits the operators' limits, checked by {@link SettingsCheck}
-     * @param settings the settings, checked likewise
+     * @param limits the limits in the configuration, which {@link SettingsCheck} has checked
+     * @param settings the settings in the configuration, which {@link SettingsCheck} has checked
      */
     public static Limits of(JsonNode limits, JsonNode settings) {
         int sockets = limits.path("sockets").asInt() - RESERVED_DESCRIPTORS;
--- a/balancer/src/main/java/gorsestack/settings/SettingsCheck.java
+++ b/balancer/src/main/java/gorsestack/settings/SettingsCheck.java
@@ -7,9 +7,9 @@
 import java.util.function.Predicate;
 
 /**
- * Checks a configuration before a balancer starts with it, or takes it at a reload. Prevents that a setting which is missing or
- * misspelt is replaced by a default, that is, by one customer's usual value at another's. Unknown keys are ignored, as newer
- * settings have more.
+ * Checks a configuration before a balancer starts with it or applies it at a reload. Prevents a missing or misspelled setting from being
+ * replaced by a default, that is, by a value that is usual for one customer but wrong for another. Unknown keys are ignored, as newer
+ * settings have more of them. Stateless and thread-safe.
  */
 public final class SettingsCheck {
     private SettingsCheck() {}
@@ -17,7 +17,7 @@
     /**
      * Checks the configuration's limits and settings.
      *
-     * @throws InvalidSettingsException for the first field that is missing, of the wrong kind or at odds with another
+     * @throws InvalidSettingsException if a field is missing, has the wrong type or conflicts with another; names the first such field
      */
     public static void check(JsonNode limits, JsonNode settings) throws InvalidSettingsException {
         if (!settings.isObject()) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Checks settings that only some deployments have: each may be absent, but not of the wrong kind. */
+    /** Checks settings that only some deployments have; each may be absent, but must not have the wrong type. */
     private static void checkOptional(JsonNode settings) throws InvalidSettingsException {
         JsonNode instances = settings.path("replicasOfMe");
         requireIfPresent(
--- a/balancer/src/main/java/gorsestack/settings/SettingsReader.java
+++ b/balancer/src/main/java/gorsestack/settings/SettingsReader.java
@@ -11,7 +11,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads the policy's settings from JSON, for sockets and simulator alike. Unknown keys are ignored. */
+/**
+ * Reads the policy's settings from JSON, for the server and for the simulator. Unknown keys are ignored. Stateless and thread-safe.
+ */
 public final class SettingsReader {
     private static final double NANOS_PER_MILLI = 1e6;
     private static final int UNLIMITED_ATTEMPTS = Integer.MAX_VALUE;
@@ -61,7 +63,7 @@
                 nanos(root, "step", 1));
     }
 
-    /** Reports that upstreams give only to probes count as none, as nothing is probed. */
+    /** Returns the load reports that responses carry; none if upstreams report only to probes, as this program sends no probes. */
     private static Reports reports(JsonNode node) {
         List<String> columns = strings(node.path("columns"));
         return !node.path("source").asText("").equals("answers")
@@ -92,7 +94,7 @@
             throw new InvalidSettingsException(
                     "settings.products.clientTimeout", "settings: product " + name + " lacks clientTimeout");
         }
-        // An unknown value is treated as the strictest one.
+        // Unknown values are treated as the strictest ones.
         Repeat repeat = switch (node.path("semantics").asText("")) {
             case "free" -> Repeat.IDEMPOTENT;
             case "guarded" -> Repeat.DEDUPLICATED;
--- a/balancer/src/main/java/gorsestack/settings/ShutdownTimings.java
+++ b/balancer/src/main/java/gorsestack/settings/ShutdownTimings.java
@@ -3,23 +3,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Timings of the graceful shutdown, counted from SIGTERM.
+ * Holds the timings of the graceful shutdown, counted from SIGTERM. Immutable.
  *
- * @param acceptNanos how long new connections are accepted; they arrive for another 0.2 to 0.4 s
- * @param serveNanos how long new calls are served. A call that arrives last has half of the longest latency objective left, and
- *     most take less; before that, connected clients may have no other balancer.
- * @param endNanos when all calls have to be complete; SIGKILL follows no sooner than 0.7 s after the longest client timeout
- * @param responseNanos how much longer a response under way may take: 32 MB to a client that reads half a megabyte a second
+ * @param acceptNanos how long new connections are accepted; clients continue to connect for another 0.2 to 0.4 s
+ * @param serveNanos how long new calls are served. The last call that is received has half of the longest latency objective left, and
+ *     most calls take less; before that, connected clients may have no other balancer.
+ * @param endNanos the time by which all calls have to be complete; SIGKILL follows no earlier than 0.7 s after the longest client timeout
+ * @param responseNanos how much longer a response that is being forwarded may take: 32 MB to a client that reads 0.5 MB/s
  */
 public record ShutdownTimings(long acceptNanos, long serveNanos, long endNanos, long responseNanos) {
 
-    /** How long after the longest client timeout the process ends; SIGKILL comes 0.7 s after it. */
+    /** The time between the longest client timeout and the end of the process; SIGKILL follows 0.7 s after that timeout. */
     private static final int END_MARGIN_MILLIS = 650;
 
     /**
      * Returns the timings for one deployment.
      *
-     * @param longestTimeoutMillis the longest client timeout of any product, as far as SIGKILL waits for it
+     * @param longestTimeoutMillis the longest client timeout of any product, limited to the time by which SIGKILL is delayed
      * @param longestObjectiveMillis the largest latency objective of any product
      */
     static ShutdownTimings of(double longestTimeoutMillis, double longestObjectiveMillis) {
--- a/balancer/src/main/java/gorsestack/settings/UpstreamLimits.java
+++ b/balancer/src/main/java/gorsestack/settings/UpstreamLimits.java
@@ -3,27 +3,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Limits on the connections that this balancer opens to upstreams.
+ * Holds the limits on the connections that this balancer opens to upstreams. Immutable.
  *
- * @param maxConnections connections to all upstreams together, one for each attempt in flight, and idle ones
+ * @param maxConnections the number of connections to all upstreams together: one for each attempt in flight, and idle ones
  * @param connectTimeoutNanos how long an attempt waits for its connection; the setting {@code connectTimeout}
- * @param maxConnectNanos when a connect is given up. A connection that completes after its attempt has timed out is kept for
- *     the next attempt; an unreachable host occupies a descriptor for as long.
- * @param idleTimeoutNanos how long an idle connection is kept: seven tenths of the setting {@code connIdle}, as a connection
- *     that the upstream closes at its own limit ends with a reset for a request that may have been executed
- * @param silenceThresholdNanos an attempt whose upstream has sent nothing for this long is treated as unresponsive: half of the
- *     strictest latency objective, and no less than four connect timeouts, as the reaction costs a connect
- * @param reuseDelayNanos how long a connection rests after a response before it is reused, so that excess bytes behind the
- *     response are seen; several turns of the I/O thread
+ * @param maxConnectNanos how long a connect may take before it is abandoned. A connection that completes after its attempt has timed out
+ *     is kept for the next attempt; until it is abandoned, a connect to an unreachable host occupies a descriptor.
+ * @param idleTimeoutNanos how long an idle connection is kept: seven tenths of the setting {@code connIdle}. If the upstream closed the
+ *     connection at its own limit, a request sent at that moment would end with a reset although it may have been executed.
+ * @param silenceThresholdNanos the time after which the upstream of an attempt is treated as unresponsive if it has sent nothing: half of
+ *     the strictest latency objective, but no less than four connect timeouts, as the reaction costs a connect
+ * @param reuseDelayNanos how long a connection stays unused after a response, so that excess bytes after the response are detected;
+ *     several iterations of the I/O thread
  * @param quarantineReuseDelayNanos the same for an upstream in quarantine: ten times as long
- * @param quarantineNanos how long the longer delay applies after an upstream has sent a second response to one request. A new
- *     connection costs the upstream a hundredth of a call, and where the fault occurs it recurs every second or two.
- * @param responseStallTimeoutNanos longest pause within a response that is buffered before it is forwarded: twice the longest
- *     pause seen in a day, as such a response is written at once and its body is 64 KiB at most
- * @param streamStallTimeoutNanos longest pause within a body that is being forwarded, in either direction; it cannot be
- *     requested elsewhere, and a peer that is slower has stopped
- * @param drainGraceNanos a request that is sent later than this to a draining upstream counts as a violation; not used for
- *     decisions
+ * @param quarantineNanos how long the longer delay applies after an upstream has sent a second response to one request. A new connection
+ *     costs the upstream a hundredth of a call, and the fault, where it occurs, recurs every second or two.
+ * @param responseStallTimeoutNanos the longest pause within a response that is buffered before it is forwarded: twice the longest pause
+ *     that occurs in a day, as upstreams write such a response at once and its body has 64 KiB at most
+ * @param streamStallTimeoutNanos the longest pause within a body that is being forwarded, in either direction. Such a body cannot be
+ *     requested from another upstream, and a sender or receiver that pauses for longer has stopped.
+ * @param drainGraceNanos the time after which a request that is sent to a draining upstream counts as an invariant violation; not used
+ *     for decisions
  */
 public record UpstreamLimits(
         int maxConnections,
@@ -41,8 +41,8 @@
     /**
      * Returns the limits for one deployment.
      *
-     * @param sockets descriptors left for clients and upstreams together
-     * @param upstreamIdleNanos idle limit of the upstreams themselves
+     * @param sockets the descriptors available to clients and upstreams together
+     * @param upstreamIdleNanos the idle timeout of the upstreams themselves
      * @param strictestObjectiveMillis the smallest latency objective of any product
      */
     static UpstreamLimits of(
--- a/balancer/src/main/java/gorsestack/settings/package-info.java
+++ b/balancer/src/main/java/gorsestack/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings of a deployment: checked, read into the policy's settings, and turned into limits of this program. */
+/** Checks the settings of a deployment, reads them into the policy's settings, and derives the limits of this program from them. */
 package gorsestack.settings;
--- a/balancer/src/test/java/gorsestack/settings/LimitsTest.java
+++ b/balancer/src/test/java/gorsestack/settings/LimitsTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import org.junit.jupiter.api.Test;
 
-/** Every limit by its value, taken before the limits were grouped by subject. */
+/** Compares every derived limit with its expected value, which guards against values that change while the limits are restructured. */
 class LimitsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void derivesEveryLimitWherePolled() throws JsonProcessingException {
+    void derivesEveryLimitWhenDiscoveryIsPolled() throws JsonProcessingException {
         Limits limits = limits(1024, """
                 {
                   "membershipMode": "subscribe",
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void derivesEveryLimitWhereListsArePushed() throws JsonProcessingException {
+    void derivesEveryLimitWhenListsArePushed() throws JsonProcessingException {
         Limits limits = limits(96, """
                 {
                   "membershipMode": "automatic",
--- a/balancer/src/test/java/gorsestack/settings/SettingsCheckTest.java
+++ b/balancer/src/test/java/gorsestack/settings/SettingsCheckTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Settings that are rejected, with the field that is wrong and the message. */
+/** Checks which settings are rejected, and that the error names the invalid field and what it must be. */
 class SettingsCheckTest {
     private ObjectNode configuration;
 
@@ -35,24 +35,24 @@
     }
 
     @Test
-    void acceptsTheExample() throws IOException {
+    void acceptsExampleConfiguration() throws IOException {
         SettingsCheck.check(configuration.path("limits"), configuration.path("settings"));
     }
 
     @Test
-    void namesAMissingField() {
+    void namesMissingField() {
         ((ObjectNode) configuration.at("/settings/rules")).remove("cold");
         assertRejected("settings.rules.cold", "settings.rules.cold is missing; it must be a number above 0");
     }
 
     @Test
-    void namesAFieldOfTheWrongKind() {
+    void namesFieldOfWrongType() {
         ((ObjectNode) configuration.at("/settings/limits")).put("mayCancel", 1);
         assertRejected("settings.limits.mayCancel", "settings.limits.mayCancel must be true or false, not 1");
     }
 
     @Test
-    void namesAProductThatIsNamedTwice() {
+    void namesProductThatOccursTwice() {
         ArrayNode products = (ArrayNode) configuration.at("/settings/products");
         JsonNode first = products.get(0).deepCopy();
         String name = first.path("name").asText();
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void namesTheFieldOfAProductThatCannotBeRead() {
+    void readerNamesMissingFieldOfProduct() {
         InvalidSettingsException rejected = assertThrows(
                 InvalidSettingsException.class,
                 () -> SettingsReader.read(new ObjectMapper().readTree("{\"products\":[{\"name\":\"a\"}]}")));
