--- a/balancer/src/main/java/gorsestack/Main.java
+++ b/balancer/src/main/java/gorsestack/Main.java
@@ -8,7 +8,9 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command line; each command is a class of its own. */
+/**
+ * The entry point of the program and the root of its command line; each subcommand is a class of its own. Runs on the main thread.
+ */
 @Command(
         name = "gorsestack",
         mixinStandardHelpOptions = true,
@@ -21,20 +23,20 @@
     public static void main(String[] args) throws InterruptedException {
         String config = System.getenv("ROUTER_CONFIG");
         if (args.length == 1 && args[0].equals("serve") && config != null) {
-            // Without picocli: reading its annotations takes a sixth of a second of a whole core at each restart.
+            // Bypasses picocli, whose annotation processing occupies a core for a sixth of a second at each restart.
             System.exit(new ServeCommand().run(Path.of(config)));
         }
         System.exit(new CommandLine(new Main()).execute(args));
     }
 
-    /** Prints the usage, as no command was given. */
+    /** Prints the usage; called when no subcommand is given. */
     @Override
     public Integer call() {
         CommandLine.usage(this, System.err);
         return CommandLine.ExitCode.USAGE;
     }
 
-    /** The version that the build has put into a resource; read only for {@code --version}. */
+    /** Provides the version that the build writes into a resource; it is read only for {@code --version}. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() throws IOException {
--- a/balancer/src/main/java/gorsestack/ServeCommand.java
+++ b/balancer/src/main/java/gorsestack/ServeCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs one balancer. */
+/** Runs one balancer; the command line calls it on the main thread. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
@@ -33,8 +33,9 @@
     }
 
     /**
-     * Starts a balancer, and returns at once only if that fails or {@code --check} is given.
+     * Starts a balancer and then blocks. Returns only if the start fails or {@code --check} is given.
      *
+     * @param file the balancer's configuration
      * @return the exit code
      */
     int run(Path file) throws InterruptedException {
--- a/balancer/src/main/java/gorsestack/SimulatorCommand.java
+++ b/balancer/src/main/java/gorsestack/SimulatorCommand.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Hosts balancers on the simulator's wire. */
+/** Hosts balancers for the simulator, which exchanges batches of JSON over standard input and output; on the main thread. */
 @Command(
         name = "simhost",
         mixinStandardHelpOptions = true,
--- a/balancer/src/main/java/gorsestack/StateCommand.java
+++ b/balancer/src/main/java/gorsestack/StateCommand.java
@@ -8,21 +8,21 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Inspects the state that a balancer has persisted. */
+/** Groups the subcommands that inspect the state that a balancer has persisted; on the main thread. */
 @Command(
         name = "state",
         mixinStandardHelpOptions = true,
         description = "Looks at what a balancer has kept.",
         subcommands = StateCommand.Show.class)
 final class StateCommand implements Callable<Integer> {
-    /** Prints the usage, as no subcommand was given. */
+    /** Prints the usage; called when no subcommand is given. */
     @Override
     public Integer call() {
         CommandLine.usage(this, System.err);
         return CommandLine.ExitCode.USAGE;
     }
 
-    /** Prints a state file. */
+    /** Prints a persisted state file. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
--- a/balancer/src/main/java/gorsestack/StatusCommand.java
+++ b/balancer/src/main/java/gorsestack/StatusCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Prints the status of a running balancer. */
+/** Prints the status of a running balancer, which it requests from the admin listener; on the main thread. */
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
--- a/balancer/src/main/java/gorsestack/cli/StateReport.java
+++ b/balancer/src/main/java/gorsestack/cli/StateReport.java
@@ -11,7 +11,7 @@
 import java.time.Instant;
 import java.util.Arrays;
 
-/** The content of a persisted state file, for people and scripts. */
+/** Prints the content of a persisted state file for operators and scripts; runs on the main thread. */
 public final class StateReport {
     private static final int EXIT_OK = 0;
     private static final int EXIT_DAMAGED = 1;
@@ -22,7 +22,7 @@
     /**
      * Prints a state file.
      *
-     * @param json whether to print one JSON object, rather than lines of text
+     * @param json whether to print one JSON object rather than lines of text
      * @return the exit code: 0 if the file is intact, 1 if it is damaged, 2 if it cannot be read
      */
     public static int show(Path file, boolean json, PrintStream out, PrintStream err) {
@@ -51,9 +51,9 @@
         out.println("incarnation  " + state.incarnation());
         out.println("written      " + time(state.writtenAt()));
         state.maintenanceOrders()
-                .forEach((upstream, ban) -> out.println("by hand      " + upstream
-                        + (ban.endedAt() == PersistentState.NOT_ENDED ? " out, said " : " called back, said ")
-                        + time(ban.orderedAt())));
+                .forEach((upstream, order) -> out.println("by hand      " + upstream
+                        + (order.endedAt() == PersistentState.NOT_ENDED ? " out, said " : " called back, said ")
+                        + time(order.orderedAt())));
         state.learned()
                 .forEach(row ->
                         out.println("learnt       " + Arrays.toString(row.toRow()) + " at " + time(state.learnedAt())));
--- a/balancer/src/main/java/gorsestack/cli/StatusReport.java
+++ b/balancer/src/main/java/gorsestack/cli/StatusReport.java
@@ -11,7 +11,7 @@
 import java.time.Duration;
 import java.util.Map;
 
-/** The status of a running balancer, as its admin listener reports it, for people and scripts. */
+/** Prints the status of a running balancer for operators and scripts; runs on the main thread. */
 public final class StatusReport {
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final int HTTP_OK = 200;
@@ -23,10 +23,10 @@
     private StatusReport() {}
 
     /**
-     * Prints the status.
+     * Requests the status from the admin listener and prints it.
      *
-     * @param address of the admin listener, as address:port
-     * @param json whether to print the status as it was received, rather than a line for each field
+     * @param address the address of the admin listener, as address:port
+     * @param json whether to print the status as one JSON object rather than one line for each field
      * @return the exit code: 0 if the balancer is ready, 1 if it is not, 2 if it cannot be reached
      */
     public static int show(String address, boolean json, PrintStream out, PrintStream err) throws InterruptedException {
@@ -60,7 +60,7 @@
                 .send(request, HttpResponse.BodyHandlers.ofString());
     }
 
-    /** Prints a field, or a line for each field of an object. */
+    /** Prints a line for the field, or one for each of its fields if it is an object. */
     private static void print(Map.Entry<String, JsonNode> field, PrintStream out) {
         JsonNode value = field.getValue();
         if (value.isObject()) {
--- a/balancer/src/main/java/gorsestack/cli/package-info.java
+++ b/balancer/src/main/java/gorsestack/cli/package-info.java
@@ -1,2 +1,2 @@
-/** Reports that commands print: the status of a running balancer, and a persisted state file. */
+/** Prints the reports of commands: the status of a running balancer and the content of a persisted state file. */
 package gorsestack.cli;
--- a/balancer/src/main/java/gorsestack/package-info.java
+++ b/balancer/src/main/java/gorsestack/package-info.java
@@ -1,2 +1,2 @@
-/** The command line of the program. */
+/** The entry point of the program and its command line. */
 package gorsestack;
--- a/balancer/src/main/java/gorsestack/simulator/EventDispatcher.java
+++ b/balancer/src/main/java/gorsestack/simulator/EventDispatcher.java
@@ -18,15 +18,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Gives each event of a batch to the policy of its balancer, and decides nothing. Not thread-safe. */
+/** Passes each event of a batch to the policy of the balancer it is addressed to, for {@link SimulatorHost}. Not thread-safe. */
 final class EventDispatcher {
-    /** Values of SYNC's {@code form}. */
+    /** The values of the field {@code form} of SYNC: cached list, snapshot, delta and failed poll. */
     private static final long FORM_CACHED = 0;
 
     private static final long FORM_SNAPSHOT = 1;
     private static final long FORM_DELTA = 2;
     private static final long FORM_FAILED = 4;
-    /** Values of an endpoint's {@code state}; any other is treated as draining. */
+    /** The values of an endpoint's {@code state}: gone and ready. Any other value is treated as draining. */
     private static final long STATE_GONE = 0;
 
     private static final long STATE_READY = 1;
@@ -38,7 +38,7 @@
     private long round;
     private long now;
 
-    /** @param err where the trace of a policy's exception goes */
+    /** @param err receives the stack traces of exceptions that policies throw */
     EventDispatcher(PrintStream err) {
         this.err = err;
     }
@@ -51,8 +51,8 @@
     /**
      * Dispatches the events of a batch.
      *
-     * @param parser stands on the opening bracket of the events
-     * @param currentReply where the policies' actions are written
+     * @param parser the parser, positioned at the opening bracket of the events
+     * @param currentReply receives the actions of the policies
      */
     void dispatch(JsonParser parser, long currentRound, long currentTime, JsonGenerator currentReply)
             throws IOException {
@@ -222,7 +222,7 @@
         runGuarded(instance, () -> policy.onResponseStarted(now, id, attempt));
     }
 
-    /** Returns the bytes of a hex string; none if it is absent or malformed. */
+    /** Decodes a hex string; returns an empty array if it is absent or malformed. */
     private static byte[] bytes(String hex) {
         try {
             return hex == null ? new byte[0] : HexFormat.of().parseHex(hex);
@@ -245,13 +245,13 @@
         };
     }
 
-    /** Reports an exception of the policy by the wire's fault message; its trace goes to standard error. */
+    /** Runs a step of a policy. If it throws, reports the exception to the simulator and prints its stack trace to standard error. */
     private void runGuarded(long instance, Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
             e.printStackTrace(err);
-            new SimulatorActions(this, instance).fault("round " + round + ": " + e);
+            new SimulatorActions(this, instance).reportPolicyFailure("round " + round + ": " + e);
         }
     }
 }
--- a/balancer/src/main/java/gorsestack/simulator/InvalidBatchException.java
+++ b/balancer/src/main/java/gorsestack/simulator/InvalidBatchException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Thrown for a batch that the simulator's wire format does not allow. */
+/** Thrown when a batch does not conform to the simulator's wire format. */
 final class InvalidBatchException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/balancer/src/main/java/gorsestack/simulator/MessageReader.java
+++ b/balancer/src/main/java/gorsestack/simulator/MessageReader.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 
 /**
- * Reads the values of one message in order, straight from the parser, and skips those that a message carries beyond. Not
+ * Reads the values of one message in order from the parser, for {@link EventDispatcher}, and skips values beyond the known ones. Not
  * thread-safe.
  */
 final class MessageReader {
@@ -18,13 +18,13 @@
         this.in = in;
     }
 
-    /** Begins a message whose opening bracket the parser has just read. */
+    /** Starts reading a message whose opening bracket the parser has just read. */
     void begin(String name) {
         message = name;
         ended = false;
     }
 
-    /** Sets the name of the message in errors. */
+    /** Sets the name of the message that error messages contain. */
     void setName(String name) {
         message = name;
     }
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Returns the next value's token, or null at the end of the message. */
+    /** Returns the token of the next value, or null at the end of the message. */
     JsonToken next() throws IOException {
         if (ended) {
             return null;
@@ -51,7 +51,7 @@
         return ended ? null : token;
     }
 
-    /** Reads a required text. */
+    /** Reads a required string. */
     String text(String field) throws IOException {
         String value = textOrNull(field);
         if (value == null) {
@@ -60,7 +60,7 @@
         return value;
     }
 
-    /** Reads an optional text; an integer, as for no tenant, counts as absent. */
+    /** Reads an optional string. An integer, which stands for no tenant, is treated as absent. */
     String textOrNull(String field) throws IOException {
         JsonToken token = next();
         if (token == null || token == JsonToken.VALUE_NULL || token == JsonToken.VALUE_NUMBER_INT) {
@@ -93,7 +93,7 @@
         return in.getDoubleValue();
     }
 
-    /** Reads a required integer; of a larger one, the low 64 bits. */
+    /** Reads a required integer; only the low 64 bits of a larger one are returned. */
     long integer(String field) throws IOException {
         JsonToken token = next();
         if (token == null || token == JsonToken.VALUE_NULL) {
@@ -107,7 +107,7 @@
                 : in.getLongValue();
     }
 
-    /** Reads an optional flag, false by default. */
+    /** Reads an optional boolean; returns false if it is absent. */
     boolean flag(String field) throws IOException {
         JsonToken token = next();
         if (token == null || token == JsonToken.VALUE_NULL) {
@@ -119,7 +119,7 @@
         return token == JsonToken.VALUE_TRUE;
     }
 
-    /** Reads an array of numbers, with NaN for other values; null if the value is no array. */
+    /** Reads an array of numbers, with NaN for other values; returns null if the value is not an array. */
     double[] numbersOrNull() throws IOException {
         if (next() != JsonToken.START_ARRAY) {
             if (!ended) {
--- a/balancer/src/main/java/gorsestack/simulator/SimulatorActions.java
+++ b/balancer/src/main/java/gorsestack/simulator/SimulatorActions.java
@@ -6,7 +6,7 @@
 import java.io.UncheckedIOException;
 import java.util.HexFormat;
 
-/** Writes the actions of one balancer's policy into the reply to the current batch. */
+/** Writes the actions of one balancer's policy into the reply to the current batch, on the thread of {@link EventDispatcher}. */
 final class SimulatorActions implements PolicyActions {
     private final EventDispatcher dispatcher;
     private final long instance;
@@ -26,7 +26,7 @@
         write("RETRACT", apiCall, attempt);
     }
 
-    /** Writes nothing: the simulator hands the first success to the client by itself. */
+    /** Writes nothing, as the simulator delivers the first successful response to the client by itself. */
     @Override
     public void fulfilled(String apiCall, int attempt) {}
 
@@ -41,8 +41,8 @@
     }
 
     @Override
-    public void scheduleTimer(long token, long at) {
-        write("WAKE_ME", token, SimulatorTime.millis(at));
+    public void scheduleTimer(long token, long dueAt) {
+        write("WAKE_ME", token, SimulatorTime.millis(dueAt));
     }
 
     @Override
@@ -60,9 +60,9 @@
         write("FREE_LINKS", upstream);
     }
 
-    /** Reports that the policy has thrown an exception. */
-    void fault(String line) {
-        write("DIE", line);
+    /** Reports an exception that the policy has thrown to the simulator. */
+    void reportPolicyFailure(String description) {
+        write("DIE", description);
     }
 
     private void write(String name, Object... values) {
--- a/balancer/src/main/java/gorsestack/simulator/SimulatorHost.java
+++ b/balancer/src/main/java/gorsestack/simulator/SimulatorHost.java
@@ -18,8 +18,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Hosts balancers on the simulator's wire: a batch of events on each line of the input, a reply on each line of the output. Runs on
- * the caller's thread.
+ * Hosts simulated balancers for the simulator and its command. Each input line is a batch of events, each output line the reply to one.
+ * Runs on the caller's thread.
  */
 public final class SimulatorHost {
     private static final int BUFFER_CHARS = 1 << 16;
@@ -31,15 +31,15 @@
     private final PrintStream err;
     private final JsonFactory json = new JsonFactory(new ObjectMapper());
     private final EventDispatcher dispatcher;
-    /** Number of the latest batch; negative before the first. */
+    /** The number of the latest batch; negative before the first one. */
     private long round = -1;
 
     private long now;
 
     /**
-     * @param in batches
-     * @param out replies
-     * @param err errors in the input, and traces of policies' exceptions
+     * @param in the batches
+     * @param out the replies
+     * @param err errors in the input, and stack traces of exceptions that policies throw
      */
     public SimulatorHost(InputStream in, OutputStream out, PrintStream err) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_CHARS);
--- a/balancer/src/main/java/gorsestack/simulator/package-info.java
+++ b/balancer/src/main/java/gorsestack/simulator/package-info.java
@@ -1,2 +1,2 @@
-/** Adapter between the simulator's wire, one JSON batch a line, and the policies of the balancers that it simulates. */
+/** Adapts the simulator's wire format, one batch of JSON per line, to the policies of the balancers that are simulated. */
 package gorsestack.simulator;
--- a/balancer/src/test/java/gorsestack/CommandLineFormatTest.java
+++ b/balancer/src/test/java/gorsestack/CommandLineFormatTest.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Help;
 
 /**
- * What the command line prints: help, usage errors, bad configurations and a state file's report, each with
- * its exit code.
+ * Compares the output of the command line with the stored forms: help, usage errors, errors of invalid configurations and the report of a
+ * state file, each with its exit code.
  */
 class CommandLineFormatTest {
     private static final Fixture HELP = new Fixture("command-line-help.txt");
@@ -42,7 +42,7 @@
         return "== " + title + "\n" + output + "== exit code " + exitCode + "\n";
     }
 
-    /** Runs the program as a process of its own, with nothing of this one's configuration in its environment. */
+    /** Runs the program in a separate process, without the environment variables that would override its configuration. */
     private String run(String title, String... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void printsHelp() throws IOException {
+    void printsHelpOfEachCommand() throws IOException {
         HELP.assertSame(execute("--help")
                 + execute("serve", "--help")
                 + execute("simhost", "--help")
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void printsUsageErrors() throws IOException {
+    void printsUsageForUnknownOptionsAndMissingParameters() throws IOException {
         USAGE_ERRORS.assertSame(execute("--unknown")
                 + execute("nothing")
                 + execute("status")
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void printsOneLineForABadConfiguration() throws Exception {
+    void printsOneLineForInvalidConfiguration() throws Exception {
         String example = Files.readString(Path.of("deploy/example.json"));
         BAD_CONFIGURATIONS.assertSame(serve("an array", "[]")
                 + serve("no JSON", "{")
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void printsAStateFile() throws Exception {
+    void printsStateFileAsTextAndJson() throws Exception {
         Path file = folder.resolve("n1.state");
         Files.write(file, new Fixture("state-file.txt").input());
         Path damaged = folder.resolve("damaged.state");
--- a/balancer/src/test/java/gorsestack/LayersTest.java
+++ b/balancer/src/test/java/gorsestack/LayersTest.java
@@ -9,14 +9,14 @@
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import org.junit.jupiter.api.Test;
 
-/** Imports run one way: from what starts the program down to the decisions, which know nothing else. */
+/** Checks that packages depend on lower layers only, from the command line down to the decision packages, which depend on no other. */
 class LayersTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("gorsestack");
 
     @Test
-    void importsRunOneWay() {
+    void packagesDependOnLowerLayersOnly() {
         slices().matching("gorsestack.(*)..").should().beFreeOfCycles().check(CLASSES);
         layeredArchitecture()
                 .consideringOnlyDependenciesInAnyPackage("gorsestack..")
@@ -63,9 +63,9 @@
                 .check(CLASSES);
     }
 
-    /** Decisions have no I/O, no clock of their own and no threads. */
+    /** Guards against decisions that cannot be replayed because they use I/O, threads or a clock of their own. */
     @Test
-    void decisionsTouchNothing() {
+    void decisionPackagesUseNoInputOutputThreadsOrClock() {
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAnyPackage("gorsestack.decision", "gorsestack.fleet")
--- a/balancer/src/test/java/gorsestack/MainTest.java
+++ b/balancer/src/test/java/gorsestack/MainTest.java
@@ -12,21 +12,22 @@
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine;
 
+/** Tests the options of the program itself. */
 class MainTest {
-    /** The version stands in the pom; the newest entry of the changelog and what the program prints agree with it. */
+    /** Guards against a release whose pom, newest changelog entry and printed version differ. */
     @Test
-    void saysTheVersionThatThePomAndTheChangelogSay() throws IOException {
+    void printsVersionOfPomAndChangelog() throws IOException {
         StringWriter out = new StringWriter();
         assertEquals(0, new CommandLine(new Main()).setOut(new PrintWriter(out)).execute("--version"));
         assertEquals(
-                "gorsestack " + first("CHANGELOG.md", "(?m)^## (\\d+\\.\\d+\\.\\d+)"),
+                "gorsestack " + firstMatch("CHANGELOG.md", "(?m)^## (\\d+\\.\\d+\\.\\d+)"),
                 out.toString().strip());
         assertEquals(
-                "gorsestack " + first("pom.xml", "<version>([^<]+)</version>"),
+                "gorsestack " + firstMatch("pom.xml", "<version>([^<]+)</version>"),
                 out.toString().strip());
     }
 
-    private static String first(String file, String pattern) throws IOException {
+    private static String firstMatch(String file, String pattern) throws IOException {
         Matcher found = Pattern.compile(pattern).matcher(Files.readString(Path.of(file)));
         return found.find() ? found.group(1) : "none in " + file;
     }
--- a/balancer/src/test/java/gorsestack/simulator/SimulatorHostTest.java
+++ b/balancer/src/test/java/gorsestack/simulator/SimulatorHostTest.java
@@ -10,6 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/** Tests the replies, errors and exit codes of the simulator's host. */
 class SimulatorHostTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -25,7 +26,7 @@
     }
 
     @Test
-    void answersABatchAndEndsWellWithTheInput() throws IOException {
+    void repliesToBatchAndExitsWithSuccessAtEndOfInput() throws IOException {
         String hello = "[\"HELLO\",1,5,{\"new\":1,\"products\":[{\"name\":\"a\",\"clientTimeout\":100}]}]";
         String list = "[\"SHEET\",0,[[1,null,0,1,\"k\",\"z\",\"h:1\"]]],[\"SYNC\",1,0,1,0]";
         assertEquals(
@@ -39,13 +40,14 @@
     }
 
     @Test
-    void saysInOneLineWhatIsMalformed() throws IOException {
+    void reportsMalformedBatchInOneLine() throws IOException {
         for (String events :
                 new String[] {"{}", "[1]", "[[\"HELLO\",1]]", "[[\"HELLO\",1,5,6]]", "[[\"SYNC\",1,0,", "["}) {
             assertEquals(2, run("{\"wall\":1,\"round\":7,\"events\":" + events + "}\n"), events);
             assertEquals("", out.toString(StandardCharsets.UTF_8));
-            String said = err.toString(StandardCharsets.UTF_8);
-            assertTrue(said.startsWith("gorsestack: round 7: ") && said.lines().count() == 1, said);
+            String error = err.toString(StandardCharsets.UTF_8);
+            assertTrue(
+                    error.startsWith("gorsestack: round 7: ") && error.lines().count() == 1, error);
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/testing/Fixture.java
+++ b/balancer/src/test/java/gorsestack/testing/Fixture.java
@@ -10,9 +10,8 @@
 import java.nio.file.Path;
 
 /**
- * A resource file that holds bytes the program stores or sends. Tests compare with it byte for byte. With the
- * system property
- * {@code gorsestack.test.fixtures.write=true} the file is rewritten instead, and every test that uses one fails.
+ * Represents a resource file with bytes that the program stores or sends, for tests that compare their output with it byte for byte. With
+ * the system property {@code gorsestack.test.fixtures.write=true} the file is rewritten instead, and every test that uses one fails.
  */
 public final class Fixture {
     private static final String WRITE_PROPERTY = "gorsestack.test.fixtures.write";
@@ -24,7 +23,7 @@
         this.name = name;
     }
 
-    /** The fixture's bytes as committed; fails while fixtures are written. */
+    /** Returns the fixture's bytes; fails while fixtures are written. */
     public byte[] bytes() throws IOException {
         if (Boolean.getBoolean(WRITE_PROPERTY)) {
             fail(name + " is not read while fixtures are written");
@@ -32,7 +31,7 @@
         return input();
     }
 
-    /** The fixture's bytes as the input of a test that ends in {@link #assertSame} of another fixture. */
+    /** Returns the fixture's bytes for a test that uses them as input and ends with {@link #assertSame} of another fixture. */
     public byte[] input() throws IOException {
         return Files.readAllBytes(SOURCE_FOLDER.resolve(name));
     }
@@ -41,7 +40,7 @@
         return new String(bytes(), StandardCharsets.UTF_8);
     }
 
-    /** Fails unless the text is the fixture's to the last byte. */
+    /** Fails unless the text equals the fixture byte for byte. */
     public void assertSame(String actual) throws IOException {
         if (Boolean.getBoolean(WRITE_PROPERTY)) {
             Files.createDirectories(SOURCE_FOLDER);
@@ -51,7 +50,7 @@
         assertEquals(text(), actual, name);
     }
 
-    /** Fails unless the bytes, which must be UTF-8 text, are the fixture's. */
+    /** Fails unless the bytes, which must be UTF-8 text, equal the fixture. */
     public void assertSame(byte[] actual) throws IOException {
         String decoded = StandardCharsets.UTF_8
                 .newDecoder()
