--- a/balancer/src/main/java/gorsestack/fleet/ConsensusNode.java
+++ b/balancer/src/main/java/gorsestack/fleet/ConsensusNode.java
@@ -18,15 +18,17 @@
 import java.util.function.Consumer;
 
 /**
- * One member of the Raft group that replicates the leases: MicroRaft below, {@link LeaseTable} above. Has no thread, clock, socket or
- * disk of its own; all calls are made on one thread.
+ * One member of the Raft group that replicates the leases. MicroRaft replicates the commands, and a {@link LeaseTable} applies those that
+ * were committed. The node has no thread, clock, socket or disk of its own: its {@link Host} and the constructor's arguments provide them.
+ * All methods are called on one thread.
  */
 public final class ConsensusNode implements StateMachine, Transport {
     /**
-     * A member under one identity. One that has lost its disk returns under another, as it no longer knows whom it voted for.
+     * The address of a member in the Raft group. A member that has lost its disk rejoins under a new identity, because it no longer knows
+     * which candidates it has voted for.
      *
-     * @param number of the member, which stays
-     * @param identity changes with the loss of its disk
+     * @param number number of the member, which never changes
+     * @param identity changes whenever the member loses its disk
      */
     public record Member(int number, long identity) implements RaftEndpoint {
         @Override
@@ -35,29 +37,29 @@
         }
     }
 
-    /** Sends messages, and receives what was committed. */
+    /** Sends the node's messages, and is notified of committed commands. Called on the thread that calls the node. */
     public interface Host {
         /** Sends a Raft message to another member; it may be lost. */
-        void send(Member to, RaftMessage message);
+        void send(Member recipient, RaftMessage message);
 
         /** Returns whether messages to a member are likely to arrive. */
-        boolean reachable(Member to);
+        boolean reachable(Member recipient);
 
         /** Forwards a command to the leader, which proposes it; it may be lost. */
         void forward(Member leader, LeaseCommand command);
 
-        /** Receives a command that was committed and applied, in the order of the log, with the lease's entry after it. */
+        /** Notifies of a command that was committed and applied, in log order; {@code after} is the lease's entry after the command. */
         void onApplied(long index, LeaseCommand command, boolean changed, LeaseTable.Entry after);
 
-        /** Receives the state at an index, which replaces all before, as a snapshot was installed. */
-        void onRestored(long index, Map<String, LeaseTable.Entry> all);
+        /** Notifies of an installed snapshot; the entries at its log index replace all earlier state. */
+        void onRestored(long index, Map<String, LeaseTable.Entry> entries);
     }
 
-    /** The operation that a new leader commits first. */
+    /** The operation that a new leader commits first; applying it changes nothing. */
     private static final String NEW_TERM_OPERATION = "term";
-    /** Uncommitted entries that a leader accepts; proposals past it are rejected, and retried later. */
+    /** Maximum number of uncommitted log entries of a leader. Further proposals are rejected, and their requesters retry later. */
     private static final int MAX_PENDING_ENTRIES = 500;
-    /** Commits between snapshots: some hundred kilobytes of commands. */
+    /** Number of commits between two snapshots, which is some hundred kilobytes of commands. */
     private static final int SNAPSHOT_INTERVAL = 2_000;
 
     private static final int ELECTION_TIMEOUT_MILLIS = 300;
@@ -71,9 +73,11 @@
     private final RaftNode node;
 
     /**
+     * Creates a node, which takes no part in the group until {@link #start} is called.
+     *
      * @param self this member
      * @param voters members of the group at its first start
-     * @param restored state that an earlier process of this identity has persisted, or null
+     * @param restored state that an earlier process of this identity has persisted, or null if there is none
      */
     public ConsensusNode(
             Member self,
@@ -110,12 +114,12 @@
         node = builder.build();
     }
 
-    /** Begins to take part. */
+    /** Starts to participate in the group. */
     public void start() {
         node.start();
     }
 
-    /** Stops taking part. Optional: a process that is killed needs no cleanup. */
+    /** Stops participating in the group. Calling it is optional, because a process that is killed needs no cleanup. */
     public void stop() {
         node.terminate();
     }
@@ -131,31 +135,31 @@
         return node.getStatus() != RaftNodeStatus.TERMINATED && node.getStatus() != RaftNodeStatus.INITIAL;
     }
 
-    /** Returns the leader as far as this member knows, or null. */
+    /** Returns the leader as far as this member knows, or null if it knows of none. */
     public Member leader() {
         return (Member) node.getTerm().getLeaderEndpoint();
     }
 
-    /** Returns whether this member believes to be the leader. */
+    /** Returns whether this member believes that it is the leader. */
     public boolean isLeader() {
         return self.equals(leader());
     }
 
-    /** Proposes a command, which may be committed at some time, or never; the requester retries. */
+    /** Proposes a command through the leader. The command may be committed at any later time, or never, so the requester retries. */
     public void propose(LeaseCommand command) {
         Member leader = leader();
         if (leader == null || !running()) {
             return;
         }
         if (isLeader()) {
-            // The result is ignored: after a failure the command may be committed all the same.
+            // The result is ignored, because a command whose proposal has failed may still be committed.
             node.replicate(command);
         } else {
             host.forward(leader, command);
         }
     }
 
-    /** Proposes a command that another member has forwarded; not forwarded again if this member is not the leader. */
+    /** Proposes a command that another member has forwarded. Drops it if this member is not the leader. */
     public void onForwarded(LeaseCommand command) {
         if (isLeader() && running()) {
             node.replicate(command);
@@ -168,8 +172,8 @@
     }
 
     @Override
-    public void send(RaftEndpoint to, RaftMessage message) {
-        host.send((Member) to, message);
+    public void send(RaftEndpoint recipient, RaftMessage message) {
+        host.send((Member) recipient, message);
     }
 
     @Override
@@ -193,7 +197,7 @@
     }
 
     @Override
-    @SuppressWarnings("unchecked") // The chunk is the map that takeSnapshot or the member's log has made.
+    @SuppressWarnings("unchecked") // The chunk is the map that takeSnapshot or the member's log has created.
     public void installSnapshot(long index, List<Object> chunks) {
         Map<String, LeaseTable.Entry> snapshot = (Map<String, LeaseTable.Entry>) chunks.get(0);
         leases.restore(snapshot);
--- a/balancer/src/main/java/gorsestack/fleet/FencingTokenGuard.java
+++ b/balancer/src/main/java/gorsestack/fleet/FencingTokenGuard.java
@@ -1,27 +1,30 @@
 package gorsestack.fleet;
 
 /**
- * Protects a receiver of a lease owner's effects: rejects those whose epoch is lower than the highest seen. An epoch is persisted before
- * anything is done under it. A receiver without persisted state accepts nothing until it has learnt the current epoch from a majority.
+ * Protects a receiver of effects, which are operations that a lease owner executes on it, from earlier owners of the lease. Rejects each
+ * effect whose epoch is lower than the highest epoch seen so far. Persists the epoch and number of an effect before it is executed. A
+ * receiver
+ * without persisted state accepts nothing until it has learned the current epoch from a majority of the members. Not thread-safe: each
+ * receiver calls its guard on one thread.
  */
 public final class FencingTokenGuard {
-    /** What to do with an effect. */
+    /** The result of checking an effect, which says whether the receiver executes it. */
     public enum Verdict {
-        /** Execute it now. */
+        /** The effect is new and is executed now. */
         ACCEPTED,
-        /** It has been executed before. */
+        /** The effect has been accepted before and is not executed again. */
         DUPLICATE,
-        /** It comes from an earlier owner: never execute it. */
+        /** The effect comes from an earlier owner and must never be executed. */
         STALE,
-        /** The current epoch is not known yet. */
+        /** The current epoch is not known yet, so the effect is not executed. */
         UNKNOWN,
-        /** The epoch could not be persisted; do not execute it. */
+        /** The epoch and number could not be persisted, so the effect is not executed. */
         NOT_PERSISTED
     }
 
-    /** Persists what was seen, so that it outlives the process. */
+    /** Persists the highest epoch and the last sequence number, so that the next process of the receiver knows them. */
     public interface TokenStore {
-        /** Returns whether the epoch and the number are persisted now. */
+        /** Persists an epoch and the number of its last effect, and returns whether that succeeded. */
         boolean persist(long epoch, long sequenceNumber);
     }
 
@@ -31,35 +34,36 @@
     private long highestEpoch;
     private long lastSequenceNumber;
 
-    /** Creates a guard from what an earlier process has persisted. */
+    /** Creates a guard with the state that an earlier process has persisted. */
     public FencingTokenGuard(long highestEpoch, long lastSequenceNumber, TokenStore store) {
         this.highestEpoch = highestEpoch;
         this.lastSequenceNumber = lastSequenceNumber;
         this.store = store;
     }
 
-    /** Creates a guard without persisted state. */
+    /** Creates a guard without persisted state, which accepts nothing until it is notified of the current epoch. */
     public FencingTokenGuard(TokenStore store) {
         this(UNKNOWN_EPOCH, 0, store);
     }
 
-    /** Returns the highest epoch seen; negative if none is known. */
+    /** Returns the highest epoch seen, or a negative number if none is known. */
     public long highestEpoch() {
         return highestEpoch;
     }
 
-    /** Notes the current epoch, as a majority reports it. */
-    public void onCurrentEpoch(long current) {
-        if (current > highestEpoch) {
-            highestEpoch = current;
+    /** Handles the current epoch, as a majority of the members has reported it. */
+    public void onCurrentEpoch(long currentEpoch) {
+        if (currentEpoch > highestEpoch) {
+            highestEpoch = currentEpoch;
             lastSequenceNumber = 0;
         }
     }
 
     /**
-     * Checks an effect.
+     * Checks an effect, and persists its epoch and sequence number if it is accepted.
      *
-     * @param sequenceNumber of the effect; an owner numbers the effects of an epoch from 1
+     * @param epoch epoch under which the owner executes the effect
+     * @param sequenceNumber number of the effect; an owner numbers the effects of an epoch from 1
      */
     public Verdict check(long epoch, long sequenceNumber) {
         if (highestEpoch == UNKNOWN_EPOCH) {
--- a/balancer/src/main/java/gorsestack/fleet/LeaseCommand.java
+++ b/balancer/src/main/java/gorsestack/fleet/LeaseCommand.java
@@ -1,8 +1,8 @@
 package gorsestack.fleet;
 
 /**
- * An operation of the replicated log on a lease. It names the process that requested it and that process's number for the request,
- * by which it recognises its own.
+ * An operation on a lease, as it is proposed to the Raft group, stored in the replicated log and applied by {@link LeaseTable}. It carries
+ * the process that requested it and that process's number for the request, by which a process recognizes its own commands. Immutable.
  */
 public sealed interface LeaseCommand {
     /** Returns the name of the lease. */
@@ -11,25 +11,25 @@
     /** Returns the process that requested the operation. */
     LeaseOwner requester();
 
-    /** Returns the requester's number for the request. */
+    /** Returns the number that the requester has given to the request. */
     long requestId();
 
     /**
-     * Acquires a lease whose entry has not changed since the request, under a new epoch.
+     * Acquires a lease under a new epoch, unless its entry has changed since the request.
      *
-     * @param expectedVersion version of the entry at the request
-     * @param duration of the lease, in nanoseconds
-     * @param minEpoch the new epoch is no lower
+     * @param expectedVersion version of the entry at the time of the request
+     * @param duration duration of the lease, in nanoseconds
+     * @param minEpoch lower bound of the new epoch
      */
     record Acquire(
             String leaseName, LeaseOwner requester, long requestId, long expectedVersion, long duration, long minEpoch)
             implements LeaseCommand {}
 
     /**
-     * Renews a lease.
+     * Renews a lease that the requester owns under the given epoch.
      *
-     * @param elapsedSinceGrant time by the owner's clock from its request for the previous grant to this one
-     * @param grantedVersion version of the entry after the previous grant
+     * @param elapsedSinceGrant time from the owner's request for its previous grant to this request, by the owner's clock, in nanoseconds
+     * @param grantedVersion version of the entry after the owner's previous grant
      */
     record Renew(
             String leaseName,
@@ -40,20 +40,20 @@
             long grantedVersion)
             implements LeaseCommand {}
 
-    /** Releases a lease; its owner does nothing more under that epoch. */
+    /** Releases a lease. Its owner executes no further effects under that epoch. */
     record Release(String leaseName, LeaseOwner requester, long requestId, long epoch) implements LeaseCommand {}
 
     /**
-     * Records work of several steps before its first one, so that another owner can finish it.
+     * Records work that consists of several steps before its first step is done, so that a later owner can finish it.
      *
-     * @param workId identifies the work
-     * @param description what another owner needs to finish it
+     * @param workId identifier of the work
+     * @param description everything that a later owner needs to finish the work
      */
     record BeginWork(
             String leaseName, LeaseOwner requester, long requestId, long epoch, String workId, String description)
             implements LeaseCommand {}
 
-    /** Removes work whose steps are all done. */
+    /** Removes the record of work whose steps are all done. */
     record FinishWork(String leaseName, LeaseOwner requester, long requestId, long epoch, String workId)
             implements LeaseCommand {}
 }
--- a/balancer/src/main/java/gorsestack/fleet/LeaseManager.java
+++ b/balancer/src/main/java/gorsestack/fleet/LeaseManager.java
@@ -6,41 +6,42 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * One member's part in one lease: acquires it after it has expired, renews it, releases it. Every input carries the time of this
- * process's own clock, which only has to run at a rate within the given bound of the others'; no reading of another clock counts.
- * Performs no I/O.
+ * Manages one lease for one member: acquires the lease after it has expired, renews it and releases it. Each input carries the time of this
+ * process's own clock. Readings of different clocks are never compared; the clocks only have to run at rates within the given bound of each
+ * other. Performs no I/O. Called by the host of the member's {@link ConsensusNode}, on one thread.
  *
- * <p>The owner counts its lease from its request. All others wait from a time that is no earlier: when they observed the grant, or, for
- * a renewal, as long after the previous grant as the owner states; and they wait longer by the bound on clock rates. So no two members
- * believe that they own the lease. What an owner does late all the same, {@link FencingTokenGuard} rejects.
+ * <p>The owner counts its lease from its request. All other members count it from a time that is no earlier: from when they observed the
+ * grant or, for a renewal, from as long after the previous grant as the owner states. They also wait longer by the bound on clock rates. So
+ * no two members believe at the same time that they own the lease. Effects of an owner that arrive after its lease has expired are rejected
+ * by {@link FencingTokenGuard}.
  */
 public final class LeaseManager {
-    /** What a manager requests of its host. */
+    /** The requests and notifications that a manager sends to its host. */
     public interface Actions {
         /** Proposes a command, which may be committed once, twice or never. */
         void propose(LeaseCommand command);
 
-        /** Requests a call of {@link LeaseManager#tick} at that time. */
-        void scheduleTick(long at);
+        /** Requests a call of {@link LeaseManager#tick} at a time of this process's clock, in nanoseconds. */
+        void scheduleTick(long time);
 
-        /** This process owns the lease; the entry has the work that earlier owners have not finished. */
+        /** Notifies that this process owns the lease. The entry contains the work that earlier owners have not finished. */
         void onAcquired(LeaseTable.Entry entry);
 
-        /** This process does not own the lease any more. */
+        /** Notifies that this process does not own the lease any more. */
         void onLost();
     }
 
     /**
-     * Grants of an epoch that are remembered. A renewal refers to the previous grant, or to one before that where its owner had not
-     * observed the previous one in time.
+     * Number of grants of an epoch that are remembered. A renewal refers to the previous grant, or to an earlier one if its owner did not
+     * observe the previous grant in time.
      */
     private static final int MAX_GRANTS = 8;
-    /** A lease is renewed after this fraction of its duration. */
+    /** Number of renewals per lease duration: a lease is renewed after one such part of its duration. */
     private static final int RENEWALS_PER_DURATION = 3;
-    /** A proposal is repeated after this fraction of a duration. */
+    /** Number of repetitions of an uncommitted proposal per lease duration. */
     private static final int RETRIES_PER_DURATION = 12;
-    /** Acquisitions by waiting members are spread over this fraction of a duration. */
-    private static final int JITTER_FRACTION = 6;
+    /** Divisor of the lease duration that gives the interval over which acquisitions by waiting members are spread. */
+    private static final int JITTER_DIVISOR = 6;
 
     private enum RequestKind {
         NONE,
@@ -56,35 +57,40 @@
     private final Actions actions;
     private boolean candidate;
     private LeaseTable.Entry entry = LeaseTable.Entry.NONE;
+    /** Time from which this member counts the current lease of the entry, in nanoseconds of its clock. */
     private long observedAt;
-    /** Epoch under which this process owns the lease until it expires; 0 for none. */
+    /** Epoch under which this process owns the lease until the lease expires; 0 if it does not own the lease. */
     private long epoch;
 
     private long expiresAt;
-    /** The last epoch whose lease was lost. */
+    /** Last epoch whose lease this process has lost; 0 if there is none. */
     private long lastLostEpoch;
 
     private long minEpoch;
     private RequestKind pendingKind = RequestKind.NONE;
     private long requestedAt;
     private long lastRequestId;
-    /** The entry's version after this owner's last grant, and when that was requested. */
+    /** Version of the entry after the last grant to this process. */
     private long grantedVersion;
-
+    /** Time of the request for the last grant to this process, in nanoseconds of its clock. */
     private long grantRequestedAt;
+
     private LeaseCommand pendingProposal;
-    /** For each grant of this epoch, by the entry's version after it: when its lease began at the latest. */
+    /** Latest time at which the lease of each grant of this epoch began, by the entry's version after the grant. */
     private final TreeMap<Long, Long> leaseStarts = new TreeMap<>();
-    /** First request time of each proposal that may still be granted in time, by request id. */
+    /** Time of the first request of each proposal that may still be granted in time, by request id. */
     private final TreeMap<Long, Long> requestTimes = new TreeMap<>();
 
     private long nextTickAt;
 
     /**
-     * @param duration of a lease, in nanoseconds
-     * @param maxClockDrift how much faster than this process's clock another's may run, as a fraction
+     * Creates a manager that owns no lease, and that waits as if another member had just renewed the lease.
+     *
+     * @param duration duration of a lease, in nanoseconds
+     * @param maxClockDrift by how much the clock of another process may run faster than this one, as a fraction
      * @param candidate whether this member acquires the lease when it can
-     * @param random uniform from 0 to 1, for jitter
+     * @param now current time of this process's clock, in nanoseconds
+     * @param random uniformly distributed numbers from 0 to 1, for jitter
      */
     public LeaseManager(
             String leaseName,
@@ -102,12 +108,13 @@
         this.candidate = candidate;
         this.random = random;
         this.actions = actions;
-        // A process that has just started does not know of an owner that renewed a moment ago: it waits as all do.
+        // A process that has just started may not know of an owner that has just renewed its lease, so it waits like
+        // all other members.
         observedAt = now;
         scheduleNext(now);
     }
 
-    /** Copies a manager, for tests that explore states. */
+    /** Copies a manager, for tests that explore all reachable states. */
     LeaseManager(LeaseManager other, Actions actions) {
         this.leaseName = other.leaseName;
         this.self = other.self;
@@ -133,7 +140,7 @@
         nextTickAt = other.nextTickAt;
     }
 
-    /** Returns the whole state with times relative to now, to compare states. */
+    /** Returns the whole state with times relative to now, for tests that compare states. */
     List<Object> key(long now) {
         return Arrays.asList(
                 self,
@@ -148,11 +155,11 @@
                 pendingKind == RequestKind.NONE && epoch == 0 ? 0 : Math.max(-2 * duration, requestedAt - now),
                 lastRequestId,
                 requestTimes.entrySet().stream()
-                        .filter(a -> now - a.getValue() < duration)
-                        .map(a -> List.of(a.getKey(), a.getValue() - now))
+                        .filter(request -> now - request.getValue() < duration)
+                        .map(request -> List.of(request.getKey(), request.getValue() - now))
                         .toList(),
                 leaseStarts.entrySet().stream()
-                        .map(h -> List.of(h.getKey(), Math.max(-2 * duration, h.getValue() - now)))
+                        .map(start -> List.of(start.getKey(), Math.max(-2 * duration, start.getValue() - now)))
                         .toList(),
                 grantedVersion,
                 epoch == 0 ? 0 : grantRequestedAt - now,
@@ -160,12 +167,12 @@
                 Math.max(0, nextTickAt - now));
     }
 
-    /** Returns whether the lease is held now; to be called before each effect. */
+    /** Returns whether this process holds the lease now. Called before each effect. */
     public boolean mayAct(long now) {
         return epoch > 0 && now < expiresAt;
     }
 
-    /** Returns the fencing token that each effect has to carry; 0 if the lease is not held. */
+    /** Returns the epoch, which is the fencing token that each effect has to carry; 0 if this process does not hold the lease. */
     public long epoch() {
         return epoch;
     }
@@ -173,7 +180,8 @@
     private void scheduleNext(long now) {
         long wait;
         if (pendingKind != RequestKind.NONE) {
-            // The proposal was lost, or its commit is not observed yet. A repetition changes nothing.
+            // The proposal was lost, or its commit was not observed yet. If it was committed, repeating it changes
+            // nothing.
             wait = Math.max(1, duration / RETRIES_PER_DURATION);
         } else if (epoch > 0) {
             wait = Math.max(0, requestedAt + duration / RENEWALS_PER_DURATION - now);
@@ -181,19 +189,19 @@
             nextTickAt = Long.MAX_VALUE;
             return;
         } else {
-            // Jitter prevents that all waiting members propose at once.
+            // The jitter prevents all waiting members from proposing at once.
             long leaseDuration = Math.max(entry.duration(), duration);
-            // Released, or this process's own, which has given it up: nobody acts under it.
+            // Nobody acts under a lease that was released, or that belongs to this process, which has given it up.
             boolean idle = (entry.owner() == null && entry.version() > 0) || self.equals(entry.owner());
             long availableAt = idle ? observedAt : observedAt + (long) Math.ceil(leaseDuration * (1 + maxClockDrift));
-            wait = Math.max(0, availableAt - now) + (long) (random.getAsDouble() * duration / JITTER_FRACTION);
+            wait = Math.max(0, availableAt - now) + (long) (random.getAsDouble() * duration / JITTER_DIVISOR);
         }
-        // An owner always wakes up when its lease expires.
+        // The tick of an owner comes no later than the expiry of its lease.
         nextTickAt = epoch > 0 ? Math.min(now + wait, Math.max(now, expiresAt)) : now + wait;
         actions.scheduleTick(nextTickAt);
     }
 
-    /** Handles a command that was committed and applied, in the order of the log, with the lease's entry after it. */
+    /** Handles a command that was committed and applied, in log order; {@code after} is the lease's entry after the command. */
     public void onApplied(long now, LeaseCommand command, boolean changed, LeaseTable.Entry after) {
         if (!command.leaseName().equals(leaseName)) {
             return;
@@ -205,7 +213,8 @@
         }
         if ((changed && pendingKind == RequestKind.ACQUIRE)
                 || (requestTime != null && command.requestId() == lastRequestId)) {
-            // The proposal refers to an entry that has changed. Repeating it at once would not wait for the new lease.
+            // The proposal refers to an entry that has changed. If it were repeated at once, this member would not wait
+            // for the new lease.
             pendingKind = RequestKind.NONE;
         }
         boolean grantsLease = command instanceof LeaseCommand.Acquire || command instanceof LeaseCommand.Renew;
@@ -216,7 +225,7 @@
             loseLease();
         }
         if (changed && !candidate && epoch == 0 && self.equals(entry.owner())) {
-            // Granted after this member ceased to be a candidate.
+            // The lease was granted after this member ceased to be a candidate.
             lastRequestId++;
             actions.propose(new LeaseCommand.Release(leaseName, self, lastRequestId, entry.epoch()));
         }
@@ -226,9 +235,9 @@
     }
 
     /**
-     * Takes up a lease that was granted to this process. A grant that is observed after its lease has expired is treated as another
-     * owner's. An epoch whose lease was lost is not taken up again, as its effects would be numbered anew. Whichever proposal was granted,
-     * the lease counts from that one's own request.
+     * Starts or extends the ownership of a lease that was granted to this process. A grant that is observed after its lease has expired is
+     * treated like a grant to another owner. An epoch whose lease was lost is not used again, because its effects would be numbered from 1
+     * again. The lease counts from the request of the proposal that was granted.
      */
     private void acceptGrant(long now, long requestTime, LeaseTable.Entry after) {
         if (now >= requestTime + duration || after.epoch() <= lastLostEpoch) {
@@ -245,8 +254,9 @@
     }
 
     /**
-     * Records from when the lease counts at the latest. A renewal may be committed seconds after its request, by the next leader where
-     * the owner led the group and has crashed; counting from the commit, all would wait that much longer. Work does not extend a lease.
+     * Records the latest time from which the lease counts. A renewal may be committed seconds after its request, for example by the next
+     * leader if the owner led the group and has crashed. If the lease counted from the commit, all members would wait that much longer.
+     * Commands about work do not extend a lease.
      */
     private void recordGrant(long now, LeaseCommand command) {
         if (command instanceof LeaseCommand.BeginWork || command instanceof LeaseCommand.FinishWork) {
@@ -258,7 +268,7 @@
             from = previous == null
                     ? now
                     : Math.min(now, previous + (long) Math.ceil(renew.elapsedSinceGrant() * (1 + maxClockDrift)));
-            // An earlier renewal that is committed after a later one does not shorten the lease.
+            // The maximum prevents an earlier renewal that is committed after a later one from shortening the lease.
             observedAt = Math.max(observedAt, from);
         } else {
             leaseStarts.clear();
@@ -270,7 +280,7 @@
         }
     }
 
-    /** Handles a snapshot, which replaces the state. */
+    /** Handles a snapshot, which replaces the state of the lease. */
     public void onRestored(long now, LeaseTable.Entry restored) {
         entry = restored;
         observedAt = now;
@@ -289,7 +299,7 @@
         actions.onLost();
     }
 
-    /** Acts if the time has come: gives up an expired lease, renews or acquires. */
+    /** Gives up the lease if it has expired. Then requests a renewal or an acquisition if one is due. */
     public void tick(long now) {
         if (epoch > 0 && now >= expiresAt) {
             loseLease();
@@ -306,8 +316,8 @@
     }
 
     /**
-     * Proposes. For half a duration a repetition has the same request id, so that either commit is recognised; the lease counts from the
-     * first request.
+     * Proposes a renewal or an acquisition. Repetitions within half a lease duration have the same request id, so that the commit of any of
+     * them is recognized; the lease counts from the first request.
      */
     private void request(long now, RequestKind kind) {
         if (pendingKind != kind || now - requestedAt >= duration / 2) {
@@ -315,7 +325,7 @@
             requestedAt = now;
             lastRequestId++;
             requestTimes.put(lastRequestId, now);
-            requestTimes.values().removeIf(at -> now - at >= duration);
+            requestTimes.values().removeIf(requestTime -> now - requestTime >= duration);
             pendingProposal = kind == RequestKind.ACQUIRE
                     ? new LeaseCommand.Acquire(leaseName, self, lastRequestId, entry.version(), duration, minEpoch)
                     : new LeaseCommand.Renew(
@@ -325,12 +335,14 @@
         scheduleNext(now);
     }
 
-    /** Notes that a receiver has seen a later epoch than the entry has: one from before all members lost their state. */
+    /**
+     * Handles a receiver's report of a later epoch than that of the entry. Such an epoch dates from before all members lost their state.
+     */
     public void onStaleEpoch(long highestEpoch) {
         minEpoch = Math.max(minEpoch, highestEpoch + 1);
     }
 
-    /** Sets whether this member acquires the lease; if not, one that it holds is released at once. */
+    /** Sets whether this member acquires the lease when it can. If not, releases a lease that it holds at once. */
     public void setCandidate(long now, boolean newCandidate) {
         candidate = newCandidate;
         if (!newCandidate && epoch > 0) {
--- a/balancer/src/main/java/gorsestack/fleet/LeaseOwner.java
+++ b/balancer/src/main/java/gorsestack/fleet/LeaseOwner.java
@@ -1,9 +1,9 @@
 package gorsestack.fleet;
 
 /**
- * Who holds a lease: one process of a member. A later process of the same member is another owner.
+ * The owner of a lease, which is one process of a member. A later process of the same member is a different owner.
  *
  * @param member number of the member
- * @param incarnation rises with each process of a member
+ * @param incarnation number that rises with each process of the member
  */
 public record LeaseOwner(int member, long incarnation) {}
--- a/balancer/src/main/java/gorsestack/fleet/LeaseTable.java
+++ b/balancer/src/main/java/gorsestack/fleet/LeaseTable.java
@@ -4,21 +4,22 @@
 import java.util.TreeMap;
 
 /**
- * The replicated state: the owner and epoch of each lease, and its unfinished work. Commands are applied in the order of their commit, so
- * the state is the same at all members. It has no notion of time: whether a lease has expired is for the waiting members to say.
+ * The replicated state machine: the owner, epoch and unfinished work of each lease. Each {@link ConsensusNode} applies the committed
+ * commands in log order, so the state is the same at all members. The table knows no time: the members that wait for a lease decide whether
+ * it has expired. Not thread-safe.
  */
 public final class LeaseTable {
-    /** Unfinished work of one lease; past it, no more is begun. */
+    /** Maximum number of unfinished pieces of work of one lease. Commands that begin more change nothing. */
     static final int MAX_UNFINISHED_WORK = 64;
 
     /**
-     * State of one lease.
+     * The state of one lease.
      *
-     * @param version rises with each change
-     * @param owner null if the lease is released
-     * @param epoch the highest so far; the fencing token of the owner's effects
-     * @param duration of the lease, in nanoseconds
-     * @param unfinishedWork descriptions by id
+     * @param version number that rises with each change
+     * @param owner owner of the lease, or null if it was released
+     * @param epoch highest epoch so far, which is the fencing token of the owner's effects
+     * @param duration duration of the lease, in nanoseconds
+     * @param unfinishedWork descriptions of the unfinished work, by its identifier
      */
     public record Entry(long version, LeaseOwner owner, long epoch, long duration, Map<String, String> unfinishedWork) {
         static final Entry NONE = new Entry(0, null, 0, 0, Map.of());
@@ -38,7 +39,7 @@
 
     private final Map<String, Entry> entries = new TreeMap<>();
 
-    /** Returns the state of a lease; that of one that was never acquired has version 0. */
+    /** Returns the state of a lease. The entry of a lease that was never acquired has version 0. */
     public Entry entry(String leaseName) {
         return entries.getOrDefault(leaseName, Entry.NONE);
     }
@@ -48,13 +49,16 @@
         return new TreeMap<>(entries);
     }
 
-    /** Replaces the whole state by a snapshot's. */
+    /** Replaces the whole state with a snapshot. */
     public void restore(Map<String, Entry> snapshot) {
         entries.clear();
         entries.putAll(snapshot);
     }
 
-    /** Applies a command, and returns whether it changed anything. One that is late, repeated or from an earlier owner does not. */
+    /**
+     * Applies a command, and returns whether it changed the state. A command that is late, repeated or from an earlier owner changes
+     * nothing.
+     */
     public boolean apply(LeaseCommand command) {
         Entry after = next(entry(command.leaseName()), command);
         if (after != null) {
@@ -63,6 +67,7 @@
         return after != null;
     }
 
+    /** Returns the entry after a command, or null if the command changes nothing. */
     private static Entry next(Entry entry, LeaseCommand command) {
         LeaseOwner requester = command.requester();
         if (command instanceof LeaseCommand.Acquire acquire && acquire.expectedVersion() == entry.version) {
--- a/balancer/src/main/java/gorsestack/fleet/package-info.java
+++ b/balancer/src/main/java/gorsestack/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Leases agreed on by the members of a fleet: Raft below, leases with fencing tokens above. Nothing here has a thread, a clock or I/O
- * of its own; each object is used by one thread. Not used by any command yet.
+ * Leases with fencing tokens, which the members of a fleet agree on through Raft. No class here has a thread, a clock or I/O of its own,
+ * and each object is used by one thread. No command of the program uses this package yet.
  */
 package gorsestack.fleet;
--- a/balancer/src/main/java/gorsestack/fleet/store/LeaseJson.java
+++ b/balancer/src/main/java/gorsestack/fleet/store/LeaseJson.java
@@ -12,7 +12,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** JSON form of what members commit. The keys are a stored format and do not change. */
+/**
+ * Converts Raft operations and snapshots to JSON and back, for {@link MemberLog}. The keys are a stored format and must not change. Has no
+ * state.
+ */
 final class LeaseJson {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -34,13 +37,13 @@
         return new Member(node.path("number").asInt(), node.path("identity").asLong());
     }
 
-    /** Writes an operation of the log: a command, or the text that a new leader commits first. */
+    /** Converts an operation of the Raft log, which is a lease command or the text that a new leader commits first. */
     static ObjectNode of(Object operation) throws IOException {
         if (operation instanceof String text) {
             return object().put("op", "text").put("text", text);
         }
         if (!(operation instanceof LeaseCommand command)) {
-            throw new IOException("an operation that cannot be written: "
+            throw new IOException("cannot store a log operation of class "
                     + operation.getClass().getName());
         }
         ObjectNode node = object().put("duty", command.leaseName())
@@ -106,11 +109,11 @@
             case "finish" -> new LeaseCommand.FinishWork(leaseName, requester, requestId, epoch, workId);
             default ->
                 throw new IOException(
-                        "an operation not known here: " + node.path("op").asText());
+                        "unknown kind of log operation: " + node.path("op").asText());
         };
     }
 
-    /** Writes a snapshot: the entries of all leases. */
+    /** Converts a snapshot, which consists of the entries of all leases. */
     static ArrayNode of(Map<String, Entry> entries) {
         ArrayNode all = JSON.createArrayNode();
         entries.forEach((leaseName, entry) -> {
--- a/balancer/src/main/java/gorsestack/fleet/store/MemberLog.java
+++ b/balancer/src/main/java/gorsestack/fleet/store/MemberLog.java
@@ -26,18 +26,22 @@
 import java.util.TreeMap;
 
 /**
- * The durable log of a member: an append-only file of lines with a checksum and JSON each, compacted when snapshots have made most of it
- * obsolete. Everything is synced before it is acknowledged. Not thread-safe.
+ * The durable Raft log of a member: an append-only file in which each line has a checksum and a JSON object. The file is compacted when
+ * snapshots have made most of it obsolete. Everything is synced before it is acknowledged. Used by the thread of the member's {@link
+ * gorsestack.fleet.ConsensusNode}; not thread-safe.
  *
- * <p>A tail that was cut off during a write was never acknowledged and is dropped. After any other damage, or after a failed write, the
- * member votes no more: it would vouch for what it does not know.
+ * <p>A last line that was cut off during a write was never acknowledged and is dropped. After any other damage, or after a failed write,
+ * the member must not vote any more, because it would confirm entries and votes that it may have lost.
  */
 public final class MemberLog implements RaftStore {
-    /** A larger file is not a log of this program: entries of two snapshots, of some 300 bytes each, come to a tenth of it. */
+    /**
+     * Maximum size of the file that is read, in bytes. The entries of two snapshots, of some 300 bytes each, come to a tenth of it, so a
+     * larger file is not a log of this program.
+     */
     static final int MAX_BYTES = 16 << 20;
 
     private static final int FORMAT_VERSION = 1;
-    /** Obsolete bytes, beyond as many as the live ones, that are left before the file is compacted. */
+    /** Number of obsolete bytes, in addition to as many as there are live bytes, above which the file is compacted. */
     private static final int MAX_OBSOLETE_BYTES = 1 << 20;
 
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -55,9 +59,9 @@
     private boolean failed;
 
     /**
-     * Reads the log of an earlier process of this member.
+     * Reads the log of an earlier process of this member, if there is one, and compacts it.
      *
-     * @throws IOException if the log is damaged, other than cut off
+     * @throws IOException if the log is damaged in another way than by a last line that was cut off
      */
     public MemberLog(Storage storage, String file) throws IOException {
         this.storage = storage;
@@ -65,10 +69,10 @@
         byte[] all = storage.read(file);
         if (all != null) {
             if (all.length > MAX_BYTES) {
-                throw new IOException(file + " is too large for a member's log: " + all.length + " bytes");
+                throw new IOException(file + " is too large for a member log: " + all.length + " bytes");
             }
             read(new String(all, StandardCharsets.UTF_8));
-            // Compacted at once: lines appended behind one that was cut off could never be read.
+            // The file is compacted at once, because lines appended after one that was cut off could never be read.
             compact();
         }
     }
@@ -83,7 +87,7 @@
                     int after = text.indexOf('\n', next + 1);
                     if (after >= 0 && StateCodec.checked(text.substring(next + 1, after)) != null) {
                         throw new IOException(file + " is damaged at byte " + from
-                                + ", with whole lines behind; this member must not vote under" + " its identity");
+                                + " and has intact lines after it; this member must not vote under" + " its identity");
                     }
                     next = after;
                 }
@@ -99,7 +103,7 @@
             case "local" -> {
                 if (line.path("form").asInt() != FORMAT_VERSION) {
                     throw new IOException(
-                            file + " is of form " + line.path("form").asInt() + ", here is " + FORMAT_VERSION);
+                            file + " has format version " + line.path("form").asInt() + ", expected " + FORMAT_VERSION);
                 }
                 local = line;
             }
@@ -113,11 +117,12 @@
                 chunks.removeIf(
                         c -> c.path("index").asLong() == line.path("index").asLong());
             default ->
-                throw new IOException(file + " has a line of a kind not known here: "
+                throw new IOException(file + " has a line of an unknown kind: "
                         + line.path("is").asText());
         }
     }
 
+    /** Returns the node as a line of the file, with its checksum. */
     private static String line(ObjectNode node) {
         return StateCodec.line(node.toString());
     }
@@ -130,7 +135,8 @@
 
     private void checkWritable() throws IOException {
         if (failed) {
-            throw new IOException(file + " could not be written before; this member goes on without a voice");
+            throw new IOException(
+                    file + " cannot be written after an earlier write failed; this member no longer votes");
         }
     }
 
@@ -140,7 +146,8 @@
         if (unwritten.length() == 0) {
             return;
         }
-        // Until the write succeeds: one that fails may leave half a line, and nothing may be appended behind it.
+        // The flag stays set until the write has succeeded: a failed write may leave half a line, after which nothing
+        // may be appended.
         failed = true;
         byte[] appended = unwritten.toString().getBytes(StandardCharsets.UTF_8);
         storage.append(file, appended);
@@ -204,9 +211,9 @@
     }
 
     private static Collection<RaftEndpoint> endpoints(JsonNode all) {
-        List<RaftEndpoint> some = new ArrayList<>();
-        all.forEach(m -> some.add(LeaseJson.member(m)));
-        return some;
+        List<RaftEndpoint> endpoints = new ArrayList<>();
+        all.forEach(m -> endpoints.add(LeaseJson.member(m)));
+        return endpoints;
     }
 
     @Override
@@ -226,8 +233,8 @@
     }
 
     @Override
-    public void persistLogEntries(List<LogEntry> some) throws IOException {
-        for (LogEntry e : some) {
+    public void persistLogEntries(List<LogEntry> added) throws IOException {
+        for (LogEntry e : added) {
             add(LeaseJson.object()
                     .put("is", "entry")
                     .put("index", e.getIndex())
@@ -237,7 +244,7 @@
     }
 
     @Override
-    @SuppressWarnings("unchecked") // The operation of a chunk is what ConsensusNode.takeSnapshot has made.
+    @SuppressWarnings("unchecked") // The operation of a chunk is the map that ConsensusNode.takeSnapshot has created.
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
         ObjectNode node = LeaseJson.object()
                 .put("is", "chunk")
@@ -265,7 +272,7 @@
         add(LeaseJson.object().put("is", "unchunk").put("index", index));
     }
 
-    /** Returns the state for this process to continue from, or null if there is none yet. */
+    /** Returns the persisted state from which this process continues, or null if there is none yet. */
     public RestoredRaftState restored() throws IOException {
         if (local == null || members == null) {
             return null;
