--- a/balancer/src/test/java/gorsestack/fleet/Schedule.java
+++ b/balancer/src/test/java/gorsestack/fleet/ClusterSimulation.java
@@ -25,7 +25,7 @@
  * Five members, a duty and two receivers on a network, disks and clocks of chance: messages are late, lost, repeated; links fail one way and
  * both; members are stopped at any step and go on, crash at any write and come back. All from one seed; each event is checked.
  */
-final class Schedule {
+final class ClusterSimulation {
     /** What may be wrong on purpose. */
     enum Bug {
         NONE,
@@ -69,12 +69,12 @@
     int refused;
     String wrong;
 
-    Schedule(Bug bug, long seed) {
+    ClusterSimulation(Bug bug, long seed) {
         this(bug, seed, true);
     }
 
     /** Not troubled, links lose nothing and nothing happens by itself. */
-    Schedule(Bug bug, long seed, boolean troubled) {
+    ClusterSimulation(Bug bug, long seed, boolean troubled) {
         this.troubled = troubled;
         this.bug = bug;
         random = new SplittableRandom(seed);
--- a/balancer/src/test/java/gorsestack/fleet/ScheduleTest.java
+++ b/balancer/src/test/java/gorsestack/fleet/ClusterSimulationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Agreement, leases and fences under random schedules; a seed that fails prints what led to it. */
-class ScheduleTest {
+class ClusterSimulationTest {
     /** Held here, as a logger that nobody holds forgets its level. */
     private static final Logger RAFT = Logger.getLogger("io.microraft");
 
@@ -30,7 +30,7 @@
         long effects = 0;
         long refused = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            Schedule s = new Schedule(Schedule.Bug.NONE, seed);
+            ClusterSimulation s = new ClusterSimulation(ClusterSimulation.Bug.NONE, seed);
             s.run(60 * SECONDS);
             assertNull(s.wrong, "seed " + seed + "\n" + String.join("\n", s.story()));
             takings += s.takings;
@@ -56,7 +56,7 @@
         for (String what : List.of("kill", "stop", "cut")) {
             long[] gaps = new long[50];
             for (int seed = 0; seed < gaps.length; seed++) {
-                gaps[seed] = new Schedule(Schedule.Bug.NONE, 1_000 + seed, false).without(what);
+                gaps[seed] = new ClusterSimulation(ClusterSimulation.Bug.NONE, 1_000 + seed, false).without(what);
                 assertTrue(gaps[seed] >= 0, what + ", seed " + seed);
             }
             Arrays.sort(gaps);
@@ -65,25 +65,25 @@
                             System.Logger.Level.INFO,
                             "{0}: without an owner for {1} ms, {2} ms of 48 in 50, at most {3} ms",
                             what,
-                            gaps[25] / Schedule.MS,
-                            gaps[47] / Schedule.MS,
-                            gaps[49] / Schedule.MS);
-            assertTrue(gaps[47] <= 1.5 * Schedule.LENGTH, what + ": " + gaps[47] / Schedule.MS);
-            assertTrue(gaps[49] <= 2.5 * Schedule.LENGTH, what + ": " + gaps[49] / Schedule.MS);
+                            gaps[25] / ClusterSimulation.MS,
+                            gaps[47] / ClusterSimulation.MS,
+                            gaps[49] / ClusterSimulation.MS);
+            assertTrue(gaps[47] <= 1.5 * ClusterSimulation.LENGTH, what + ": " + gaps[47] / ClusterSimulation.MS);
+            assertTrue(gaps[49] <= 2.5 * ClusterSimulation.LENGTH, what + ": " + gaps[49] / ClusterSimulation.MS);
         }
     }
 
     /** The check finds what it is there for. */
     @Test
     void eachPlantedBugIsFound() {
-        for (Schedule.Bug bug : Schedule.Bug.values()) {
-            if (bug == Schedule.Bug.NONE) {
+        for (ClusterSimulation.Bug bug : ClusterSimulation.Bug.values()) {
+            if (bug == ClusterSimulation.Bug.NONE) {
                 continue;
             }
             String wrong = null;
             int seed = 0;
             while (wrong == null && seed < 300) {
-                Schedule s = new Schedule(bug, ++seed);
+                ClusterSimulation s = new ClusterSimulation(bug, ++seed);
                 s.run(60 * SECONDS);
                 wrong = s.wrong;
             }
--- a/balancer/src/test/java/gorsestack/fleet/SmallWorld.java
+++ b/balancer/src/test/java/gorsestack/fleet/LeaseModel.java
@@ -14,7 +14,7 @@
  * proposes is committed late, twice or never, is heard of late, an effect waits for ever between the check and its arrival, processes restart.
  * Goes through every state that so many steps lead to, and says how it came to one that must not be.
  */
-final class SmallWorld {
+final class LeaseModel {
     /** What may be wrong on purpose. */
     enum Bug {
         NONE,
@@ -52,7 +52,7 @@
     private final Set<Effect> done = new HashSet<>();
     String wrong;
 
-    private SmallWorld(Bug bug) {
+    private LeaseModel(Bug bug) {
         this.bug = bug;
         for (int i = 0; i < MEMBERS; i++) {
             holders[i] = new LeaseManager("d", new LeaseOwner(i, 1), LENGTH, rates(), true, time, () -> 0, act(i));
@@ -60,7 +60,7 @@
         fence = fence(0, 0);
     }
 
-    private SmallWorld(SmallWorld of) {
+    private LeaseModel(LeaseModel of) {
         bug = of.bug;
         time = of.time;
         for (int i = 0; i < MEMBERS; i++) {
@@ -284,12 +284,12 @@
     }
 
     private interface Does {
-        void to(SmallWorld world);
+        void to(LeaseModel world);
     }
 
     private record Step(String name, Does does) {}
 
-    private record Place(SmallWorld world, Place from, String by, int depth) {
+    private record Place(LeaseModel world, Place from, String by, int depth) {
         List<String> way() {
             List<String> way = from == null ? new ArrayList<>() : from.way();
             if (by != null) {
@@ -304,7 +304,7 @@
 
     /** From a beginning in which any member may take the duty, or one has just taken it and all have heard; so many steps at most. */
     static Explored explore(Bug bug, boolean owned, int depth, int most) {
-        SmallWorld first = new SmallWorld(bug);
+        LeaseModel first = new LeaseModel(bug);
         first.time += LENGTH;
         if (owned) {
             first.holders[0].tick(first.time);
@@ -319,7 +319,7 @@
         while (!open.isEmpty()) {
             Place at = open.poll();
             for (Step step : at.world.steps()) {
-                SmallWorld next = new SmallWorld(at.world);
+                LeaseModel next = new LeaseModel(at.world);
                 step.does.to(next);
                 next.check();
                 Place place = new Place(next, at, step.name, at.depth + 1);
--- a/balancer/src/test/java/gorsestack/fleet/SmallWorldTest.java
+++ b/balancer/src/test/java/gorsestack/fleet/LeaseModelTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Lease and fence, exhaustively in the small. */
-class SmallWorldTest {
+class LeaseModelTest {
     private static final System.Logger LOG = System.getLogger("gorsestack.test");
     /** Steps from the moment in which any of three may take the duty, and from that in which one has. */
     private static final int DEPTH = 8;
@@ -20,7 +20,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void nothingThatMustNotBeIsReached(boolean owned) {
-        SmallWorld.Explored all = SmallWorld.explore(SmallWorld.Bug.NONE, owned, owned ? DEPTH_OWNED : DEPTH, MOST);
+        LeaseModel.Explored all = LeaseModel.explore(LeaseModel.Bug.NONE, owned, owned ? DEPTH_OWNED : DEPTH, MOST);
         assertNull(all.wrong(), all.wrong() + "\n" + String.join("\n", all.way()));
         assertTrue(all.states() > 10_000 && all.states() < MOST, "all of them: " + all.states());
         LOG.log(System.Logger.Level.INFO, "{0} states", all.states());
@@ -29,10 +29,10 @@
     /** The check finds what it is there for. */
     @Test
     void eachPlantedBugIsFound() {
-        for (SmallWorld.Bug bug : SmallWorld.bugs()) {
-            SmallWorld.Explored all = SmallWorld.explore(bug, false, 7, MOST);
+        for (LeaseModel.Bug bug : LeaseModel.bugs()) {
+            LeaseModel.Explored all = LeaseModel.explore(bug, false, 7, MOST);
             if (all.wrong() == null) {
-                all = SmallWorld.explore(bug, true, DEPTH_OWNED, MOST);
+                all = LeaseModel.explore(bug, true, DEPTH_OWNED, MOST);
             }
             assertNotNull(all.wrong(), bug + " not found in " + all.states() + " states");
             LOG.log(
