--- a/balancer/src/test/java/gorsestack/fleet/ClusterSimulation.java
+++ b/balancer/src/test/java/gorsestack/fleet/ClusterSimulation.java
@@ -22,60 +22,61 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Five members, a duty and two receivers on a network, disks and clocks of chance: messages are late, lost, repeated; links fail one way and
- * both; members are stopped at any step and go on, crash at any write and come back. All from one seed; each event is checked.
+ * Simulates a group of five members with one lease and two receivers of effects. Messages are delayed, lost and duplicated; links fail in
+ * one or both directions; members are paused and resumed, crash and restart; disks fill up. All random choices come from one seed, and the
+ * invariants are checked after each event. Single-threaded.
  */
 final class ClusterSimulation {
-    /** What may be wrong on purpose. */
+    /** A bug that is planted in the simulation, to prove that the checks find it. */
     enum Bug {
         NONE,
-        NO_FENCE,
-        FENCE_NOT_KEPT,
+        NO_FENCING,
+        TOKEN_NOT_PERSISTED,
         WALL_CLOCK,
-        AMNESIA,
+        STATE_LOSS,
         NO_SYNC
     }
 
     static final long MS = 1_000_000;
-    static final long LENGTH = 3_000 * MS;
+    static final long LEASE_DURATION = 3_000 * MS;
     private static final int MEMBERS = 5;
-    /** Clocks run up to so much too fast or slow; the bound given to holders is twice that and more. */
-    private static final double DRIFT = 0.01;
+    /** Maximum deviation of a clock's rate, as a fraction. The bound that lease managers get is more than twice as large. */
+    private static final double MAX_RATE_ERROR = 0.01;
 
-    private static final double RATES = 0.03;
-    private static final int TOLD = 60;
+    private static final double MAX_CLOCK_DRIFT = 0.03;
+    private static final int MAX_HISTORY_LINES = 60;
 
-    private record Event(long at, long order, int member, int life, Runnable what) {}
+    private record Event(long time, long order, int member, int incarnation, Runnable action) {}
 
-    private record Effect(LeaseOwner by, long epoch, long number) {}
+    private record Effect(LeaseOwner owner, long epoch, long number) {}
 
     private final Bug bug;
-    private final boolean troubled;
+    private final boolean injectsFaults;
     private final SplittableRandom random;
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((x, y) -> x.at != y.at ? Long.compare(x.at, y.at) : Long.compare(x.order, y.order));
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            (x, y) -> x.time != y.time ? Long.compare(x.time, y.time) : Long.compare(x.order, y.order));
     private final Node[] nodes = new Node[MEMBERS];
     private final Receiver[] receivers = {new Receiver(), new Receiver()};
-    private final double[][] cut = new double[MEMBERS][MEMBERS];
+    private final double[][] blockedLinks = new double[MEMBERS][MEMBERS];
     private final List<ConsensusNode.Member> voters = new ArrayList<>();
     private final Map<Long, LeaseCommand> committed = new HashMap<>();
-    private final Map<Long, LeaseOwner> owners = new HashMap<>();
-    private final ArrayDeque<String> story = new ArrayDeque<>();
+    private final Map<Long, LeaseOwner> ownersByEpoch = new HashMap<>();
+    private final ArrayDeque<String> history = new ArrayDeque<>();
     private long now = MS;
     private long order;
-    private long epochs;
-    int takings;
+    private long highestEpoch;
+    int acquisitions;
     int effects;
-    int refused;
-    String wrong;
+    int rejected;
+    String violation;
 
     ClusterSimulation(Bug bug, long seed) {
         this(bug, seed, true);
     }
 
-    /** Not troubled, links lose nothing and nothing happens by itself. */
-    ClusterSimulation(Bug bug, long seed, boolean troubled) {
-        this.troubled = troubled;
+    /** Without injected faults, links lose nothing and members fail only when a test makes them fail. */
+    ClusterSimulation(Bug bug, long seed, boolean injectsFaults) {
+        this.injectsFaults = injectsFaults;
         this.bug = bug;
         random = new SplittableRandom(seed);
         for (int i = 0; i < MEMBERS; i++) {
@@ -85,263 +86,274 @@
             nodes[i] = new Node(i);
             nodes[i].start();
         }
-        if (troubled) {
-            in(500 * MS, this::trouble);
+        if (injectsFaults) {
+            scheduleAction(500 * MS, this::injectFault);
         }
     }
 
-    private int owner() {
+    /** Returns the number of the member that owns the lease and is neither paused nor stopped, or -1. */
+    private int currentOwner() {
         for (Node node : nodes) {
-            if (node.up && !node.stopped && node.holder.mayAct(node.clock())) {
+            if (node.running && !node.paused && node.leaseManager.mayAct(node.clock())) {
                 return node.number;
             }
         }
         return -1;
     }
 
-    /** How long nobody owns the duty after its owner is killed, stopped or cut off, in nanoseconds; -1 where it takes 30 s. */
-    long without(String what) {
+    /** Returns how long nobody owns the lease after its owner is killed, paused or cut off, in nanoseconds; -1 if it takes 30 s. */
+    long timeWithoutOwner(String fault) {
         run(20_000 * MS);
-        int before = owner();
-        switch (what) {
-            case "kill" -> nodes[before].crash();
-            case "stop" -> nodes[before].stopped = true;
+        int previousOwner = currentOwner();
+        switch (fault) {
+            case "kill" -> nodes[previousOwner].crash();
+            case "stop" -> nodes[previousOwner].paused = true;
             default -> {
                 for (int i = 0; i < MEMBERS; i++) {
-                    link(before, i, 60_000 * MS, true);
+                    blockLink(previousOwner, i, 60_000 * MS, true);
                 }
             }
         }
-        long from = now;
-        while (now < from + 30_000 * MS) {
+        long start = now;
+        while (now < start + 30_000 * MS) {
             run(now + MS);
-            int owner = owner();
-            if (owner >= 0 && owner != before) {
-                return now - from;
+            int owner = currentOwner();
+            if (owner >= 0 && owner != previousOwner) {
+                return now - start;
             }
         }
         return -1;
     }
 
-    private void say(String what) {
-        story.add(String.format("%8.3f s  %s", now / 1e9, what));
-        if (story.size() > TOLD) {
-            story.remove();
+    private void addToHistory(String description) {
+        history.add(String.format("%8.3f s  %s", now / 1e9, description));
+        if (history.size() > MAX_HISTORY_LINES) {
+            history.remove();
         }
     }
 
-    private void fail(String what) {
-        if (wrong == null) {
-            wrong = what;
-            say("WRONG: " + what);
+    private void reportViolation(String description) {
+        if (violation == null) {
+            violation = description;
+            addToHistory("VIOLATION: " + description);
         }
     }
 
-    List<String> story() {
-        return List.copyOf(story);
+    /** Returns the last events, oldest first. */
+    List<String> history() {
+        return List.copyOf(history);
     }
 
-    private void in(long wait, Runnable what) {
-        events.add(new Event(now + wait, order++, -1, 0, what));
+    private void scheduleAction(long delay, Runnable action) {
+        events.add(new Event(now + delay, order++, -1, 0, action));
     }
 
+    /** Runs the simulation until a time in nanoseconds, or until a violation. */
     void run(long until) {
-        while (wrong == null && !events.isEmpty() && events.peek().at <= until) {
+        while (violation == null && !events.isEmpty() && events.peek().time <= until) {
             Event next = events.poll();
-            now = Math.max(now, next.at);
+            now = Math.max(now, next.time);
             if (next.member < 0) {
-                next.what.run();
-            } else if (nodes[next.member].up && nodes[next.member].life == next.life) {
+                next.action.run();
+            } else if (nodes[next.member].running && nodes[next.member].incarnation == next.incarnation) {
                 Node node = nodes[next.member];
-                if (node.stopped) {
-                    node.held.add(next);
+                if (node.paused) {
+                    node.deferredEvents.add(next);
                 } else {
-                    next.what.run();
+                    next.action.run();
                 }
             }
-            owned();
+            checkSingleOwner();
         }
         now = Math.max(now, until);
     }
 
-    /** No two believe that the duty is theirs. */
-    private void owned() {
-        List<Integer> all = new ArrayList<>();
+    /** Reports a violation if more than one member believes that it owns the lease. */
+    private void checkSingleOwner() {
+        List<Integer> owners = new ArrayList<>();
         for (Node node : nodes) {
-            if (node.up && node.holder.mayAct(node.clock())) {
-                all.add(node.number);
+            if (node.running && node.leaseManager.mayAct(node.clock())) {
+                owners.add(node.number);
             }
         }
-        if (all.size() > 1) {
-            fail("members " + all + " own the duty at once");
+        if (owners.size() > 1) {
+            reportViolation("members " + owners + " own the lease at the same time");
         }
     }
 
-    /** Something goes wrong now and then, and is put right after a while. */
-    private void trouble() {
-        int one = random.nextInt(MEMBERS);
+    /** Injects a random fault that ends after a random time, and schedules the next one. */
+    private void injectFault() {
+        int target = random.nextInt(MEMBERS);
         int other = random.nextInt(MEMBERS);
-        // More often whoever owns the duty.
+        // The owner of the lease is chosen more often.
         for (Node node : nodes) {
-            if (node.up && node.holder.epoch() > 0 && random.nextInt(2) == 0) {
-                one = node.number;
+            if (node.running && node.leaseManager.epoch() > 0 && random.nextInt(2) == 0) {
+                target = node.number;
             }
         }
-        int of = one;
-        Node node = nodes[of];
-        long lasts = ((long) (random.nextDouble() * random.nextDouble() * 12_000)) * MS;
+        int member = target;
+        Node node = nodes[member];
+        long duration = ((long) (random.nextDouble() * random.nextDouble() * 12_000)) * MS;
         switch (random.nextInt(8)) {
             case 0 -> {
-                say("n" + of + " crashes for " + lasts / MS + " ms");
+                addToHistory("n" + member + " crashes for " + duration / MS + " ms");
                 node.crash();
-                in(lasts, node::start);
+                scheduleAction(duration, node::start);
             }
             case 1, 2 -> {
-                if (node.up && !node.stopped) {
-                    say("n" + of + " is stopped for " + lasts / MS + " ms");
-                    node.stopped = true;
-                    in(lasts, node::goOn);
+                if (node.running && !node.paused) {
+                    addToHistory("n" + member + " is paused for " + duration / MS + " ms");
+                    node.paused = true;
+                    scheduleAction(duration, node::resume);
                 }
             }
-            case 3 -> link(of, other, lasts, random.nextInt(2) == 0);
+            case 3 -> blockLink(member, other, duration, random.nextInt(2) == 0);
             case 4 -> {
-                say("n" + of + " is cut off for " + lasts / MS + " ms");
+                addToHistory("n" + member + " is cut off for " + duration / MS + " ms");
                 boolean bothWays = random.nextInt(2) == 0;
                 for (int i = 0; i < MEMBERS; i++) {
-                    link(of, i, lasts, bothWays);
+                    blockLink(member, i, duration, bothWays);
                 }
             }
             case 5 -> {
                 Receiver receiver = receivers[random.nextInt(2)];
-                say("a receiver restarts");
+                addToHistory("a receiver restarts");
                 receiver.restart();
             }
             case 6 -> {
-                if (node.up && random.nextInt(3) == 0) {
-                    say("n" + of + "'s disk is full");
+                if (node.running && random.nextInt(3) == 0) {
+                    addToHistory("n" + member + "'s disk is full");
                     node.disk.full = true;
-                    in(lasts / 4, () -> {
+                    scheduleAction(duration / 4, () -> {
                         node.crash();
-                        in(100 * MS, node::start);
+                        scheduleAction(100 * MS, node::start);
                     });
                 }
             }
             default -> {
                 if (bug == Bug.WALL_CLOCK) {
-                    say("n" + of + "'s clock is set back");
-                    node.back += LENGTH;
-                } else if (bug == Bug.AMNESIA && node.up) {
-                    say("n" + of + " loses its disk and comes back as it was");
+                    addToHistory("n" + member + "'s clock is set back");
+                    node.clockSetBack += LEASE_DURATION;
+                } else if (bug == Bug.STATE_LOSS && node.running) {
+                    addToHistory("n" + member + " loses its disk and restarts under the same identity");
                     node.crash();
                     node.disk = new CrashingStorage(random::nextDouble);
-                    in(100 * MS, node::start);
-                } else if (node.up && node.holder.epoch() > 0) {
-                    say("n" + of + " lets the duty go");
-                    node.holder.setCandidate(node.clock(), false);
-                    in(2_000 * MS, () -> {
-                        if (node.up) {
-                            node.holder.setCandidate(node.clock(), true);
+                    scheduleAction(100 * MS, node::start);
+                } else if (node.running && node.leaseManager.epoch() > 0) {
+                    addToHistory("n" + member + " releases the lease");
+                    node.leaseManager.setCandidate(node.clock(), false);
+                    scheduleAction(2_000 * MS, () -> {
+                        if (node.running) {
+                            node.leaseManager.setCandidate(node.clock(), true);
                         }
                     });
                 }
             }
         }
-        in(((long) (random.nextDouble() * 3_000)) * MS, this::trouble);
+        scheduleAction(((long) (random.nextDouble() * 3_000)) * MS, this::injectFault);
     }
 
-    private void link(int from, int to, long lasts, boolean bothWays) {
-        cut[from][to]++;
+    /** Blocks a link for a while; messages over it are lost. */
+    private void blockLink(int from, int to, long duration, boolean bothWays) {
+        blockedLinks[from][to]++;
         if (bothWays) {
-            cut[to][from]++;
+            blockedLinks[to][from]++;
         }
-        in(lasts, () -> {
-            cut[from][to]--;
+        scheduleAction(duration, () -> {
+            blockedLinks[from][to]--;
             if (bothWays) {
-                cut[to][from]--;
+                blockedLinks[to][from]--;
             }
         });
     }
 
-    private void deliver(int from, int to, Runnable what) {
-        if (cut[from][to] > 0 || (troubled && random.nextInt(50) == 0)) {
+    /** Delivers a message unless it is lost, once or twice, each copy after a random delay. */
+    private void deliver(int from, int to, Runnable action) {
+        if (blockedLinks[from][to] > 0 || (injectsFaults && random.nextInt(50) == 0)) {
             return;
         }
-        int times = troubled && random.nextInt(50) == 0 ? 2 : 1;
-        for (int i = 0; i < times; i++) {
-            long late = troubled && random.nextInt(100) == 0 ? random.nextInt(2_000) : 1 + random.nextInt(20);
-            events.add(new Event(now + late * MS, order++, to, nodes[to].life, what));
+        int copies = injectsFaults && random.nextInt(50) == 0 ? 2 : 1;
+        for (int i = 0; i < copies; i++) {
+            long delay = injectsFaults && random.nextInt(100) == 0 ? random.nextInt(2_000) : 1 + random.nextInt(20);
+            events.add(new Event(now + delay * MS, order++, to, nodes[to].incarnation, action));
         }
     }
 
+    /** A receiver of effects, which checks that it never executes an effect of an earlier owner. */
     private final class Receiver {
-        final Set<Effect> done = new HashSet<>();
-        long[] kept = {0, 0};
-        FencingTokenGuard fence = fence();
+        final Set<Effect> executed = new HashSet<>();
+        long[] persisted = {0, 0};
+        FencingTokenGuard guard = createGuard();
         long lastEpoch;
-        LeaseOwner last;
+        LeaseOwner lastOwner;
 
-        FencingTokenGuard fence() {
-            return new FencingTokenGuard(kept[0], kept[1], (epoch, number) -> {
-                if (bug != Bug.FENCE_NOT_KEPT) {
-                    kept = new long[] {epoch, number};
+        FencingTokenGuard createGuard() {
+            return new FencingTokenGuard(persisted[0], persisted[1], (epoch, number) -> {
+                if (bug != Bug.TOKEN_NOT_PERSISTED) {
+                    persisted = new long[] {epoch, number};
                 }
                 return true;
             });
         }
 
         void restart() {
-            fence = fence();
+            guard = createGuard();
         }
 
-        void effect(Effect e) {
+        void receive(Effect e) {
             FencingTokenGuard.Verdict verdict =
-                    bug == Bug.NO_FENCE ? FencingTokenGuard.Verdict.ACCEPTED : fence.check(e.epoch, e.number);
+                    bug == Bug.NO_FENCING ? FencingTokenGuard.Verdict.ACCEPTED : guard.check(e.epoch, e.number);
             if (verdict == FencingTokenGuard.Verdict.STALE) {
-                refused++;
+                rejected++;
             }
             if (verdict != FencingTokenGuard.Verdict.ACCEPTED) {
                 return;
             }
             effects++;
             if (e.epoch < lastEpoch) {
-                fail("an effect of epoch " + e.epoch + " by " + e.by + " after one of " + lastEpoch + " by " + last);
+                reportViolation("an effect of epoch " + e.epoch + " by " + e.owner + " after one of " + lastEpoch
+                        + " by " + lastOwner);
             }
-            if (e.epoch == lastEpoch && last != null && !last.equals(e.by)) {
-                fail("effects of two owners under epoch " + e.epoch);
+            if (e.epoch == lastEpoch && lastOwner != null && !lastOwner.equals(e.owner)) {
+                reportViolation("effects of two owners under epoch " + e.epoch);
             }
-            if (!done.add(e)) {
-                fail("done twice: " + e);
+            if (!executed.add(e)) {
+                reportViolation("effect executed twice: " + e);
             }
-            last = e.by;
+            lastOwner = e.owner;
             lastEpoch = e.epoch;
         }
     }
 
+    /** One member of the group, with its disk, its clock and its lease manager. */
     private final class Node implements ConsensusNode.Host, LeaseManager.Actions, RaftNodeExecutor {
         final int number;
         final double rate;
         CrashingStorage disk = new CrashingStorage(random::nextDouble);
-        ConsensusNode agreement;
-        LeaseManager holder;
-        LeaseOwner me;
-        int life;
-        boolean up;
-        boolean stopped;
-        long back;
-        long effect;
-        final List<Event> held = new ArrayList<>();
+        ConsensusNode consensus;
+        LeaseManager leaseManager;
+        LeaseOwner self;
+        int incarnation;
+        boolean running;
+        boolean paused;
+        /** Time by which the clock was set back, in nanoseconds. */
+        long clockSetBack;
+
+        long lastEffect;
+        /** Events that came while the member was paused. */
+        final List<Event> deferredEvents = new ArrayList<>();
 
         Node(int number) {
             this.number = number;
-            rate = 1 + DRIFT * (2 * random.nextDouble() - 1);
+            rate = 1 + MAX_RATE_ERROR * (2 * random.nextDouble() - 1);
         }
 
-        /** This process's own, which counts from anywhere. */
+        /** Returns the time of this member's own clock, which starts at an arbitrary value. */
         long clock() {
-            return (long) (now * rate) + 7_777_777L * number - back;
+            return (long) (now * rate) + 7_777_777L * number - clockSetBack;
         }
 
-        private Clock wall() {
+        private Clock wallClock() {
             return new Clock() {
                 @Override
                 public ZoneId getZone() {
@@ -361,145 +373,150 @@
         }
 
         void start() {
-            if (up) {
+            if (running) {
                 return;
             }
-            life++;
-            up = true;
-            stopped = false;
-            held.clear();
-            back = bug == Bug.WALL_CLOCK ? back : 0;
-            me = new LeaseOwner(number, life);
-            holder = new LeaseManager("d", me, LENGTH, RATES, true, clock(), random::nextDouble, this);
-            disk.lying = bug == Bug.NO_SYNC;
+            incarnation++;
+            running = true;
+            paused = false;
+            deferredEvents.clear();
+            clockSetBack = bug == Bug.WALL_CLOCK ? clockSetBack : 0;
+            self = new LeaseOwner(number, incarnation);
+            leaseManager = new LeaseManager(
+                    "d", self, LEASE_DURATION, MAX_CLOCK_DRIFT, true, clock(), random::nextDouble, this);
+            disk.ignoresSync = bug == Bug.NO_SYNC;
             try {
                 MemberLog log = new MemberLog(disk, "log");
-                agreement = new ConsensusNode(
+                consensus = new ConsensusNode(
                         voters.get(number),
                         voters,
                         log.restored(),
                         log,
                         this,
-                        wall(),
+                        wallClock(),
                         new Random(random.nextLong()),
                         this);
             } catch (IOException e) {
                 throw new UncheckedIOException("n" + number, e);
             }
-            agreement.start();
+            consensus.start();
             act();
         }
 
         void crash() {
-            life++;
-            up = false;
-            stopped = false;
-            held.clear();
+            incarnation++;
+            running = false;
+            paused = false;
+            deferredEvents.clear();
             disk.crash();
         }
 
-        void goOn() {
-            if (stopped) {
-                stopped = false;
-                List<Event> all = List.copyOf(held);
-                held.clear();
-                all.forEach(e -> events.add(new Event(now, order++, e.member, e.life, e.what)));
+        void resume() {
+            if (paused) {
+                paused = false;
+                List<Event> deferred = List.copyOf(deferredEvents);
+                deferredEvents.clear();
+                deferred.forEach(e -> events.add(new Event(now, order++, e.member, e.incarnation, e.action)));
             }
         }
 
-        private void mine(long wait, Runnable what) {
-            events.add(new Event(now + wait, order++, number, life, what));
+        private void scheduleOnMember(long delay, Runnable action) {
+            events.add(new Event(now + delay, order++, number, incarnation, action));
         }
 
-        /** Asks whether it may, and does it a moment or a long time later: that is when it is stopped, or its bytes wait. */
+        /**
+         * Checks the lease and sends an effect that arrives up to 9 s later, as from a process that is paused or a network that is slow.
+         */
         private void act() {
-            if (holder.mayAct(clock())) {
-                Effect e = new Effect(me, holder.epoch(), ++effect);
+            if (leaseManager.mayAct(clock())) {
+                Effect e = new Effect(self, leaseManager.epoch(), ++lastEffect);
                 for (Receiver receiver : receivers) {
-                    long late = random.nextInt(10) == 0 ? random.nextInt(9_000) : random.nextInt(40);
-                    in(late * MS, () -> receiver.effect(e));
+                    long delay = random.nextInt(10) == 0 ? random.nextInt(9_000) : random.nextInt(40);
+                    scheduleAction(delay * MS, () -> receiver.receive(e));
                 }
             }
-            mine(40 * MS, this::act);
+            scheduleOnMember(40 * MS, this::act);
         }
 
         @Override
-        public void send(ConsensusNode.Member to, RaftMessage message) {
-            deliver(number, to.number(), () -> nodes[to.number()].agreement.onMessage(message));
+        public void send(ConsensusNode.Member recipient, RaftMessage message) {
+            deliver(number, recipient.number(), () -> nodes[recipient.number()].consensus.onMessage(message));
         }
 
         @Override
-        public boolean reachable(ConsensusNode.Member to) {
+        public boolean reachable(ConsensusNode.Member recipient) {
             return true;
         }
 
         @Override
         public void forward(ConsensusNode.Member leader, LeaseCommand command) {
-            deliver(number, leader.number(), () -> nodes[leader.number()].agreement.onForwarded(command));
+            deliver(number, leader.number(), () -> nodes[leader.number()].consensus.onForwarded(command));
         }
 
         @Override
         public void onApplied(long index, LeaseCommand command, boolean changed, LeaseTable.Entry after) {
             LeaseCommand before = committed.putIfAbsent(index, command);
             if (before != null && !before.equals(command)) {
-                fail("n" + number + " has " + command + " at " + index + ", others had " + before);
+                reportViolation("n" + number + " applied " + command + " at index " + index
+                        + ", another member applied " + before);
             }
             if (changed && command instanceof LeaseCommand.Acquire) {
-                LeaseOwner other = owners.putIfAbsent(after.epoch(), after.owner());
+                LeaseOwner other = ownersByEpoch.putIfAbsent(after.epoch(), after.owner());
                 if (other != null && !other.equals(after.owner())) {
-                    fail("epoch " + after.epoch() + " is " + other + "'s and " + after.owner() + "'s");
+                    reportViolation("epoch " + after.epoch() + " is owned by " + other + " and by " + after.owner()
+                            + ", expected one owner");
                 }
                 if (other == null) {
-                    takings++;
-                    if (after.epoch() <= epochs) {
-                        fail("epoch " + after.epoch() + " after " + epochs);
+                    acquisitions++;
+                    if (after.epoch() <= highestEpoch) {
+                        reportViolation("epoch " + after.epoch() + " after " + highestEpoch);
                     }
-                    epochs = after.epoch();
+                    highestEpoch = after.epoch();
                 }
             }
-            holder.onApplied(clock(), command, changed, after);
+            leaseManager.onApplied(clock(), command, changed, after);
         }
 
         @Override
-        public void onRestored(long index, Map<String, LeaseTable.Entry> all) {
-            say("n" + number + " restored at " + index);
-            holder.onRestored(clock(), all.getOrDefault("d", LeaseTable.Entry.NONE));
+        public void onRestored(long index, Map<String, LeaseTable.Entry> entries) {
+            addToHistory("n" + number + " restored a snapshot at index " + index);
+            leaseManager.onRestored(clock(), entries.getOrDefault("d", LeaseTable.Entry.NONE));
         }
 
         @Override
         public void propose(LeaseCommand command) {
-            agreement.propose(command);
+            consensus.propose(command);
         }
 
         @Override
-        public void scheduleTick(long at) {
-            mine(Math.max(0, (long) ((at - clock()) / rate) + 1), () -> holder.tick(clock()));
+        public void scheduleTick(long time) {
+            scheduleOnMember(Math.max(0, (long) ((time - clock()) / rate) + 1), () -> leaseManager.tick(clock()));
         }
 
         @Override
         public void onAcquired(LeaseTable.Entry entry) {
-            effect = 0;
-            say("n" + number + " owns under " + entry.epoch());
+            lastEffect = 0;
+            addToHistory("n" + number + " owns the lease under epoch " + entry.epoch());
         }
 
         @Override
         public void onLost() {
-            say("n" + number + " owns it no more");
+            addToHistory("n" + number + " no longer owns the lease");
         }
 
         @Override
         public void execute(Runnable task) {
-            mine(0, task);
+            scheduleOnMember(0, task);
         }
 
         @Override
         public void submit(Runnable task) {
-            mine(0, task);
+            scheduleOnMember(0, task);
         }
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            mine((long) (unit.toNanos(delay) / rate), task);
+            scheduleOnMember((long) (unit.toNanos(delay) / rate), task);
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/fleet/ClusterSimulationTest.java
+++ b/balancer/src/test/java/gorsestack/fleet/ClusterSimulationTest.java
@@ -11,85 +11,93 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Agreement, leases and fences under random schedules; a seed that fails prints what led to it. */
+/**
+ * Tests consensus, leases and fencing tokens in simulations with random faults. A failed seed prints the events that led to the violation.
+ */
 class ClusterSimulationTest {
-    /** Held here, as a logger that nobody holds forgets its level. */
+    /** The reference keeps the logger alive, because a logger that is garbage collected loses its level. */
     private static final Logger RAFT = Logger.getLogger("io.microraft");
 
     private static final long SECONDS = 1_000_000_000L;
     private static final int SEEDS = Integer.getInteger("gorsestack.test.schedules", 150);
 
     @BeforeAll
-    static void quiet() {
+    static void disableRaftLogs() {
         RAFT.setLevel(Level.OFF);
     }
 
     @Test
-    void noSeedBreaksAnything() {
-        long takings = 0;
+    void keepsInvariantsUnderRandomFaults() {
+        long acquisitions = 0;
         long effects = 0;
-        long refused = 0;
+        long rejected = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            ClusterSimulation s = new ClusterSimulation(ClusterSimulation.Bug.NONE, seed);
-            s.run(60 * SECONDS);
-            assertNull(s.wrong, "seed " + seed + "\n" + String.join("\n", s.story()));
-            takings += s.takings;
-            effects += s.effects;
-            refused += s.refused;
+            ClusterSimulation simulation = new ClusterSimulation(ClusterSimulation.Bug.NONE, seed);
+            simulation.run(60 * SECONDS);
+            assertNull(simulation.violation, "seed " + seed + "\n" + String.join("\n", simulation.history()));
+            acquisitions += simulation.acquisitions;
+            effects += simulation.effects;
+            rejected += simulation.rejected;
         }
         System.getLogger("gorsestack.test")
                 .log(
                         System.Logger.Level.INFO,
-                        "{0} schedules: {1} takings, {2} effects taken, {3} late ones refused",
+                        "{0} simulations: {1} acquisitions, {2} effects accepted, {3} stale effects rejected",
                         SEEDS,
-                        takings,
+                        acquisitions,
                         effects,
-                        refused);
+                        rejected);
         assertTrue(
-                takings > 5L * SEEDS && effects > 100L * SEEDS && refused > SEEDS,
-                takings + " " + effects + " " + refused);
+                acquisitions > 5L * SEEDS && effects > 100L * SEEDS && rejected > SEEDS,
+                acquisitions + " " + effects + " " + rejected);
     }
 
-    /** Killed, stopped or cut off; where it leads the agreement too, another leader has to be elected first, now and then in two tries. */
+    /**
+     * The owner is killed, paused or cut off. If it also leads the Raft group, another leader has to be elected first, which sometimes
+     * takes two attempts.
+     */
     @Test
-    void anotherOwnsItWithinALeaseAndAHalfNearlyAlways() {
-        for (String what : List.of("kill", "stop", "cut")) {
+    void anotherMemberOwnsLeaseWithinOneAndAHalfDurationsInMostRuns() {
+        for (String fault : List.of("kill", "stop", "cut")) {
             long[] gaps = new long[50];
             for (int seed = 0; seed < gaps.length; seed++) {
-                gaps[seed] = new ClusterSimulation(ClusterSimulation.Bug.NONE, 1_000 + seed, false).without(what);
-                assertTrue(gaps[seed] >= 0, what + ", seed " + seed);
+                gaps[seed] =
+                        new ClusterSimulation(ClusterSimulation.Bug.NONE, 1_000 + seed, false).timeWithoutOwner(fault);
+                assertTrue(gaps[seed] >= 0, fault + ", seed " + seed);
             }
             Arrays.sort(gaps);
             System.getLogger("gorsestack.test")
                     .log(
                             System.Logger.Level.INFO,
-                            "{0}: without an owner for {1} ms, {2} ms of 48 in 50, at most {3} ms",
-                            what,
+                            "{0}: time without an owner: median {1} ms, 48 of 50 runs {2} ms, maximum {3} ms",
+                            fault,
                             gaps[25] / ClusterSimulation.MS,
                             gaps[47] / ClusterSimulation.MS,
                             gaps[49] / ClusterSimulation.MS);
-            assertTrue(gaps[47] <= 1.5 * ClusterSimulation.LENGTH, what + ": " + gaps[47] / ClusterSimulation.MS);
-            assertTrue(gaps[49] <= 2.5 * ClusterSimulation.LENGTH, what + ": " + gaps[49] / ClusterSimulation.MS);
+            assertTrue(
+                    gaps[47] <= 1.5 * ClusterSimulation.LEASE_DURATION, fault + ": " + gaps[47] / ClusterSimulation.MS);
+            assertTrue(
+                    gaps[49] <= 2.5 * ClusterSimulation.LEASE_DURATION, fault + ": " + gaps[49] / ClusterSimulation.MS);
         }
     }
 
-    /** The check finds what it is there for. */
+    /** Proves that the checks find the faults that they are meant to find. */
     @Test
-    void eachPlantedBugIsFound() {
+    void findsEachPlantedBug() {
         for (ClusterSimulation.Bug bug : ClusterSimulation.Bug.values()) {
             if (bug == ClusterSimulation.Bug.NONE) {
                 continue;
             }
-            String wrong = null;
+            String violation = null;
             int seed = 0;
-            while (wrong == null && seed < 300) {
-                ClusterSimulation s = new ClusterSimulation(bug, ++seed);
-                s.run(60 * SECONDS);
-                wrong = s.wrong;
+            while (violation == null && seed < 300) {
+                ClusterSimulation simulation = new ClusterSimulation(bug, ++seed);
+                simulation.run(60 * SECONDS);
+                violation = simulation.violation;
             }
-            assertNotNull(wrong, bug + " not found in " + seed + " schedules");
+            assertNotNull(violation, bug + " not found in " + seed + " simulations");
             System.getLogger("gorsestack.test")
-                    .log(System.Logger.Level.INFO, "{0} found by seed {1}: {2}", bug, seed, wrong);
+                    .log(System.Logger.Level.INFO, "{0} found by seed {1}: {2}", bug, seed, violation);
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/fleet/CrashingStorage.java
+++ b/balancer/src/test/java/gorsestack/fleet/CrashingStorage.java
@@ -7,31 +7,36 @@
 import java.util.Map;
 import java.util.function.DoubleSupplier;
 
-/** A disk on which a crash leaves what was synced, and of the rest as many bytes from the front as chance has it. */
+/** A simulated disk in memory. A crash keeps all synced bytes of a file, and a random number of the bytes after them. */
 public final class CrashingStorage implements Storage {
     private final Map<String, byte[]> files = new HashMap<>();
-    private final Map<String, Integer> synced = new HashMap<>();
-    private final DoubleSupplier chance;
-    /** Each write fails from now on, in the middle. */
+    private final Map<String, Integer> syncedLengths = new HashMap<>();
+    private final DoubleSupplier random;
+    /** Whether the disk is full: each write stores a random number of its bytes and fails, and each sync fails. */
     public boolean full;
-    /** Syncs say that they went well and did nothing: a disk that lies, or a program that does not sync. */
-    public boolean lying;
+    /** Whether syncs report success without doing anything, as a faulty disk or a program that does not sync. */
+    public boolean ignoresSync;
 
-    public CrashingStorage(DoubleSupplier chance) {
-        this.chance = chance;
+    /**
+     * Creates an empty disk.
+     *
+     * @param random uniformly distributed numbers from 0 to 1, for the bytes that a crash or a failed write keeps
+     */
+    public CrashingStorage(DoubleSupplier random) {
+        this.random = random;
     }
 
     @Override
     public byte[] read(String file) {
-        byte[] all = files.get(file);
-        return all == null ? null : all.clone();
+        byte[] content = files.get(file);
+        return content == null ? null : content.clone();
     }
 
-    private void put(String file, byte[] before, byte[] more) throws IOException {
-        int fits = full ? (int) (chance.getAsDouble() * more.length) : more.length;
-        byte[] all = Arrays.copyOf(before, before.length + fits);
-        System.arraycopy(more, 0, all, before.length, fits);
-        files.put(file, all);
+    private void put(String file, byte[] existing, byte[] added) throws IOException {
+        int stored = full ? (int) (random.getAsDouble() * added.length) : added.length;
+        byte[] content = Arrays.copyOf(existing, existing.length + stored);
+        System.arraycopy(added, 0, content, existing.length, stored);
+        files.put(file, content);
         if (full) {
             throw new IOException("No space left on device");
         }
@@ -39,7 +44,7 @@
 
     @Override
     public void write(String file, byte[] bytes) throws IOException {
-        synced.put(file, 0);
+        syncedLengths.put(file, 0);
         put(file, new byte[0], bytes);
     }
 
@@ -53,15 +58,15 @@
         if (full) {
             throw new IOException("Input/output error");
         }
-        if (!lying) {
-            synced.put(file, files.get(file).length);
+        if (!ignoresSync) {
+            syncedLengths.put(file, files.get(file).length);
         }
     }
 
     @Override
     public void rename(String from, String to) {
         files.put(to, files.remove(from));
-        synced.put(to, synced.remove(from));
+        syncedLengths.put(to, syncedLengths.remove(from));
     }
 
     @Override
@@ -71,11 +76,13 @@
         }
     }
 
+    /** Simulates a crash of the process that uses the disk; the disk is no longer full after it. */
     public void crash() {
         full = false;
-        files.replaceAll((file, all) -> {
-            int safe = synced.getOrDefault(file, 0);
-            return Arrays.copyOf(all, safe + (int) (chance.getAsDouble() * (all.length - safe)));
+        files.replaceAll((file, content) -> {
+            int syncedLength = syncedLengths.getOrDefault(file, 0);
+            return Arrays.copyOf(
+                    content, syncedLength + (int) (random.getAsDouble() * (content.length - syncedLength)));
         });
     }
 }
--- a/balancer/src/test/java/gorsestack/fleet/LeaseModel.java
+++ b/balancer/src/test/java/gorsestack/fleet/LeaseModel.java
@@ -10,116 +10,119 @@
 import java.util.TreeSet;
 
 /**
- * Three members, one duty, one receiver, and all that may happen to them in any order: time passes, a member looks or is paused, what it
- * proposes is committed late, twice or never, is heard of late, an effect waits for ever between the check and its arrival, processes restart.
- * Goes through every state that so many steps lead to, and says how it came to one that must not be.
+ * A model of three members, one lease and one receiver of effects, for exhaustive state exploration. The steps, in any order, are: time
+ * passes; a member ticks or stays paused; a proposal is committed late, twice or never; a member applies a command late; an effect stays in
+ * flight for any time between the check of the lease and its arrival; a process restarts. {@link #explore} visits each state that a limited
+ * number of steps can reach, and returns the trace to the first state that violates an invariant. Single-threaded.
  */
 final class LeaseModel {
-    /** What may be wrong on purpose. */
+    /** A bug that is planted in the model, to prove that the checks find it. */
     enum Bug {
         NONE,
-        NO_FENCE,
-        FENCE_NOT_KEPT,
+        NO_FENCING,
+        TOKEN_NOT_PERSISTED,
         WALL_CLOCK,
-        AMNESIA,
-        NO_WAIT
+        STATE_LOSS,
+        NO_EXPIRY_WAIT
     }
 
-    private static final long LENGTH = 4;
+    private static final long LEASE_DURATION = 4;
     private static final int MEMBERS = 3;
-    private static final int MOST_PENDING = 2;
-    private static final int MOST_FLYING = 2;
+    private static final int MAX_PENDING_PROPOSALS = 2;
+    private static final int MAX_EFFECTS_IN_FLIGHT = 2;
 
     private record Effect(int member, long incarnation, long epoch, long number) {}
 
     private final Bug bug;
     private long time = 1;
-    private final LeaseManager[] holders = new LeaseManager[MEMBERS];
+    private final LeaseManager[] managers = new LeaseManager[MEMBERS];
     private final long[] incarnation = {1, 1, 1};
-    private final long[] back = new long[MEMBERS];
-    private final int[] applied = new int[MEMBERS];
-    private final long[] numbers = new long[MEMBERS];
+    private final long[] clockSetBack = new long[MEMBERS];
+    private final int[] appliedCommands = new int[MEMBERS];
+    private final long[] lastEffects = new long[MEMBERS];
     private List<LeaseCommand> log = new ArrayList<>();
-    private LeaseTable duties = new LeaseTable();
-    private final List<LeaseCommand> pending = new ArrayList<>();
-    private final List<Effect> flying = new ArrayList<>();
-    private FencingTokenGuard fence;
-    private long[] kept = {0, 0};
+    private LeaseTable leases = new LeaseTable();
+    private final List<LeaseCommand> pendingProposals = new ArrayList<>();
+    private final List<Effect> effectsInFlight = new ArrayList<>();
+    private FencingTokenGuard guard;
+    private long[] persisted = {0, 0};
     private int restarts;
-    private LeaseOwner last;
+    private LeaseOwner lastOwner;
     private long lastEpoch;
-    private final Map<Long, LeaseOwner> owners = new HashMap<>();
-    private final Set<Effect> done = new HashSet<>();
-    String wrong;
+    private final Map<Long, LeaseOwner> ownersByEpoch = new HashMap<>();
+    private final Set<Effect> executed = new HashSet<>();
+    String violation;
 
     private LeaseModel(Bug bug) {
         this.bug = bug;
         for (int i = 0; i < MEMBERS; i++) {
-            holders[i] = new LeaseManager("d", new LeaseOwner(i, 1), LENGTH, rates(), true, time, () -> 0, act(i));
+            managers[i] = new LeaseManager(
+                    "d", new LeaseOwner(i, 1), LEASE_DURATION, maxClockDrift(), true, time, () -> 0, actions(i));
         }
-        fence = fence(0, 0);
+        guard = createGuard(0, 0);
     }
 
-    private LeaseModel(LeaseModel of) {
-        bug = of.bug;
-        time = of.time;
+    private LeaseModel(LeaseModel other) {
+        bug = other.bug;
+        time = other.time;
         for (int i = 0; i < MEMBERS; i++) {
-            holders[i] = new LeaseManager(of.holders[i], act(i));
-            incarnation[i] = of.incarnation[i];
-            back[i] = of.back[i];
-            applied[i] = of.applied[i];
-            numbers[i] = of.numbers[i];
+            managers[i] = new LeaseManager(other.managers[i], actions(i));
+            incarnation[i] = other.incarnation[i];
+            clockSetBack[i] = other.clockSetBack[i];
+            appliedCommands[i] = other.appliedCommands[i];
+            lastEffects[i] = other.lastEffects[i];
         }
-        log = new ArrayList<>(of.log);
-        duties.restore(of.duties.entries());
-        pending.addAll(of.pending);
-        flying.addAll(of.flying);
-        kept = of.kept.clone();
-        fence = fence(of.fence.highestEpoch(), of.fenceNumber());
-        restarts = of.restarts;
-        last = of.last;
-        lastEpoch = of.lastEpoch;
-        owners.putAll(of.owners);
-        done.addAll(of.done);
+        log = new ArrayList<>(other.log);
+        leases.restore(other.leases.entries());
+        pendingProposals.addAll(other.pendingProposals);
+        effectsInFlight.addAll(other.effectsInFlight);
+        persisted = other.persisted.clone();
+        guard = createGuard(other.guard.highestEpoch(), other.lastAcceptedNumber());
+        restarts = other.restarts;
+        lastOwner = other.lastOwner;
+        lastEpoch = other.lastEpoch;
+        ownersByEpoch.putAll(other.ownersByEpoch);
+        executed.addAll(other.executed);
     }
 
-    /** Who does not wait for another's lease to run out. */
-    private double rates() {
-        return bug == Bug.NO_WAIT ? -1 : 0;
+    /** Returns the bound on clock rates; with the planted bug it makes members acquire a lease before it has expired. */
+    private double maxClockDrift() {
+        return bug == Bug.NO_EXPIRY_WAIT ? -1 : 0;
     }
 
-    private long number;
+    /** Sequence number of the last effect that the guard has accepted. */
+    private long acceptedNumber;
 
-    private long fenceNumber() {
-        return number;
+    private long lastAcceptedNumber() {
+        return acceptedNumber;
     }
 
-    private FencingTokenGuard fence(long highest, long its) {
-        number = its;
-        return new FencingTokenGuard(highest, its, (epoch, n) -> {
-            if (bug != Bug.FENCE_NOT_KEPT) {
-                kept = new long[] {epoch, n};
+    private FencingTokenGuard createGuard(long highestEpoch, long sequenceNumber) {
+        acceptedNumber = sequenceNumber;
+        return new FencingTokenGuard(highestEpoch, sequenceNumber, (epoch, n) -> {
+            if (bug != Bug.TOKEN_NOT_PERSISTED) {
+                persisted = new long[] {epoch, n};
             }
-            number = n;
+            acceptedNumber = n;
             return true;
         });
     }
 
-    private LeaseManager.Actions act(int i) {
+    private LeaseManager.Actions actions(int i) {
         return new LeaseManager.Actions() {
             @Override
             public void propose(LeaseCommand command) {
-                if (pending.size() < MOST_PENDING && !pending.contains(command)) {
-                    pending.add(command);
+                if (pendingProposals.size() < MAX_PENDING_PROPOSALS && !pendingProposals.contains(command)) {
+                    pendingProposals.add(command);
                 }
             }
 
             @Override
-            public void scheduleTick(long at) {}
+            public void scheduleTick(long time) {}
 
             @Override
             public void onAcquired(LeaseTable.Entry entry) {
-                numbers[i] = 0;
+                lastEffects[i] = 0;
             }
 
             @Override
@@ -127,144 +130,149 @@
         };
     }
 
-    /** The clock that a member goes by; only a bug has it set. */
+    /** Returns the time of a member's clock, which only a planted bug sets back. */
     private long clock(int i) {
-        return time - back[i];
+        return time - clockSetBack[i];
     }
 
     private boolean mayAct(int i) {
-        return holders[i].mayAct(clock(i));
+        return managers[i].mayAct(clock(i));
     }
 
+    /** Returns everything that distinguishes this state from others. */
     private List<Object> key() {
         List<Object> key = new ArrayList<>();
         for (int i = 0; i < MEMBERS; i++) {
-            key.add(holders[i].key(clock(i)));
-            key.add(applied[i]);
-            key.add(numbers[i]);
+            key.add(managers[i].key(clock(i)));
+            key.add(appliedCommands[i]);
+            key.add(lastEffects[i]);
         }
         key.add(log);
-        key.add(new HashSet<>(pending));
-        key.add(List.copyOf(flying));
-        key.add(List.of(fence.highestEpoch(), number, kept[0], kept[1], restarts, lastEpoch));
-        key.add(done);
+        key.add(new HashSet<>(pendingProposals));
+        key.add(List.copyOf(effectsInFlight));
+        key.add(List.of(guard.highestEpoch(), acceptedNumber, persisted[0], persisted[1], restarts, lastEpoch));
+        key.add(executed);
         return key;
     }
 
-    private void fail(String what) {
-        wrong = wrong == null ? what : wrong;
+    private void reportViolation(String description) {
+        violation = violation == null ? description : violation;
     }
 
     private void apply(int i) {
-        LeaseCommand c = log.get(applied[i]);
+        LeaseCommand c = log.get(appliedCommands[i]);
         LeaseTable before = new LeaseTable();
         boolean changed = false;
-        for (int n = 0; n <= applied[i]; n++) {
+        for (int n = 0; n <= appliedCommands[i]; n++) {
             changed = before.apply(log.get(n));
         }
-        applied[i]++;
-        holders[i].onApplied(clock(i), c, changed, before.entry("d"));
+        appliedCommands[i]++;
+        managers[i].onApplied(clock(i), c, changed, before.entry("d"));
     }
 
     private void commit(int p) {
-        LeaseCommand c = pending.get(p);
+        LeaseCommand c = pendingProposals.get(p);
         log.add(c);
-        if (duties.apply(c) && c instanceof LeaseCommand.Acquire) {
-            LeaseTable.Entry e = duties.entry("d");
-            LeaseOwner before = owners.put(e.epoch(), e.owner());
+        if (leases.apply(c) && c instanceof LeaseCommand.Acquire) {
+            LeaseTable.Entry e = leases.entry("d");
+            LeaseOwner before = ownersByEpoch.put(e.epoch(), e.owner());
             if (before != null && !before.equals(e.owner())) {
-                fail("epoch " + e.epoch() + " is " + before + "'s and " + e.owner() + "'s");
+                reportViolation("epoch " + e.epoch() + " is owned by " + before + " and by " + e.owner()
+                        + ", expected one owner");
             }
         }
     }
 
     private void deliver(int f) {
-        Effect e = flying.get(f);
+        Effect e = effectsInFlight.get(f);
         FencingTokenGuard.Verdict verdict =
-                bug == Bug.NO_FENCE ? FencingTokenGuard.Verdict.ACCEPTED : fence.check(e.epoch, e.number);
+                bug == Bug.NO_FENCING ? FencingTokenGuard.Verdict.ACCEPTED : guard.check(e.epoch, e.number);
         if (verdict != FencingTokenGuard.Verdict.ACCEPTED) {
             return;
         }
-        LeaseOwner by = new LeaseOwner(e.member, e.incarnation);
+        LeaseOwner owner = new LeaseOwner(e.member, e.incarnation);
         if (e.epoch < lastEpoch) {
-            fail("an effect of epoch " + e.epoch + " by " + by + " after one of " + lastEpoch + " by " + last);
+            reportViolation("an effect of epoch " + e.epoch + " by " + owner + " after one of " + lastEpoch + " by "
+                    + lastOwner);
         }
-        if (e.epoch == lastEpoch && last != null && !last.equals(by)) {
-            fail("effects of two owners under epoch " + e.epoch);
+        if (e.epoch == lastEpoch && lastOwner != null && !lastOwner.equals(owner)) {
+            reportViolation("effects of two owners under epoch " + e.epoch);
         }
-        if (!done.add(e)) {
-            fail("done twice: " + e);
+        if (!executed.add(e)) {
+            reportViolation("effect executed twice: " + e);
         }
-        last = by;
+        lastOwner = owner;
         lastEpoch = e.epoch;
     }
 
-    private void check() {
-        List<Integer> all = new ArrayList<>();
+    private void checkSingleOwner() {
+        List<Integer> owners = new ArrayList<>();
         for (int i = 0; i < MEMBERS; i++) {
             if (mayAct(i)) {
-                all.add(i);
+                owners.add(i);
             }
         }
-        if (all.size() > 1) {
-            fail("members " + all + " own the duty at once");
+        if (owners.size() > 1) {
+            reportViolation("members " + owners + " own the lease at the same time");
         }
     }
 
-    /** Each thing that may happen next, as a step on a copy. */
+    /** Returns all steps that are possible in this state; each is applied to a copy of it. */
     private List<Step> steps() {
         List<Step> steps = new ArrayList<>();
         steps.add(new Step("time passes", w -> w.time++));
-        for (int p = 0; p < pending.size(); p++) {
+        for (int p = 0; p < pendingProposals.size(); p++) {
             int n = p;
-            steps.add(new Step("committed: " + pending.get(p), w -> {
+            steps.add(new Step("committed: " + pendingProposals.get(p), w -> {
                 w.commit(n);
-                w.pending.remove(n);
+                w.pendingProposals.remove(n);
             }));
             if (log.size() < 4) {
-                steps.add(new Step("committed, and once more later: " + pending.get(p), w -> w.commit(n)));
+                steps.add(new Step(
+                        "committed, and may be committed again: " + pendingProposals.get(p), w -> w.commit(n)));
             }
-            steps.add(new Step("lost: " + pending.get(p), w -> w.pending.remove(n)));
+            steps.add(new Step("lost: " + pendingProposals.get(p), w -> w.pendingProposals.remove(n)));
         }
-        for (int f = 0; f < flying.size(); f++) {
+        for (int f = 0; f < effectsInFlight.size(); f++) {
             int n = f;
-            steps.add(new Step("arrives: " + flying.get(f), w -> {
+            steps.add(new Step("arrives: " + effectsInFlight.get(f), w -> {
                 w.deliver(n);
-                w.flying.remove(n);
+                w.effectsInFlight.remove(n);
             }));
-            steps.add(new Step("arrives, and once more later: " + flying.get(f), w -> w.deliver(n)));
+            steps.add(new Step("arrives, and may arrive again: " + effectsInFlight.get(f), w -> w.deliver(n)));
         }
         for (int i = 0; i < MEMBERS; i++) {
             int n = i;
-            steps.add(new Step("member " + i + " looks", w -> w.holders[n].tick(w.clock(n))));
-            if (applied[i] < log.size()) {
-                steps.add(new Step("member " + i + " hears", w -> w.apply(n)));
+            steps.add(new Step("member " + i + " ticks", w -> w.managers[n].tick(w.clock(n))));
+            if (appliedCommands[i] < log.size()) {
+                steps.add(new Step("member " + i + " applies the next command", w -> w.apply(n)));
             }
-            if (mayAct(i) && flying.size() < MOST_FLYING) {
+            if (mayAct(i) && effectsInFlight.size() < MAX_EFFECTS_IN_FLIGHT) {
                 steps.add(new Step(
-                        "member " + i + " acts under " + holders[i].epoch(),
-                        w -> w.flying.add(new Effect(n, w.incarnation[n], w.holders[n].epoch(), ++w.numbers[n]))));
+                        "member " + i + " sends an effect under epoch " + managers[i].epoch(),
+                        w -> w.effectsInFlight.add(
+                                new Effect(n, w.incarnation[n], w.managers[n].epoch(), ++w.lastEffects[n]))));
             }
-            if (restarts < 2 && holders[i].epoch() > 0) {
+            if (restarts < 2 && managers[i].epoch() > 0) {
                 steps.add(new Step("member " + i + " restarts", w -> w.restart(n)));
             }
-            if (bug == Bug.WALL_CLOCK && back[i] == 0 && holders[i].epoch() > 0) {
-                steps.add(new Step("member " + i + "'s clock is set back", w -> w.back[n] = LENGTH));
+            if (bug == Bug.WALL_CLOCK && clockSetBack[i] == 0 && managers[i].epoch() > 0) {
+                steps.add(new Step("member " + i + "'s clock is set back", w -> w.clockSetBack[n] = LEASE_DURATION));
             }
         }
-        if (restarts < 2 && fence.highestEpoch() > 0) {
+        if (restarts < 2 && guard.highestEpoch() > 0) {
             steps.add(new Step("the receiver restarts", w -> {
                 w.restarts++;
-                w.fence = w.fence(w.kept[0], w.kept[1]);
+                w.guard = w.createGuard(w.persisted[0], w.persisted[1]);
             }));
         }
-        if (bug == Bug.AMNESIA && !log.isEmpty()) {
-            steps.add(new Step("a majority forgets what it committed last", w -> {
+        if (bug == Bug.STATE_LOSS && !log.isEmpty()) {
+            steps.add(new Step("a majority loses the last committed command", w -> {
                 w.log.remove(w.log.size() - 1);
-                w.duties = new LeaseTable();
-                w.log.forEach(w.duties::apply);
+                w.leases = new LeaseTable();
+                w.log.forEach(w.leases::apply);
                 for (int i = 0; i < MEMBERS; i++) {
-                    w.applied[i] = Math.min(w.applied[i], w.log.size());
+                    w.appliedCommands[i] = Math.min(w.appliedCommands[i], w.log.size());
                 }
             }));
         }
@@ -274,69 +282,82 @@
     private void restart(int i) {
         restarts++;
         incarnation[i]++;
-        numbers[i] = 0;
-        holders[i] =
-                new LeaseManager("d", new LeaseOwner(i, incarnation[i]), LENGTH, rates(), true, time, () -> 0, act(i));
-        applied[i] = 0;
-        while (applied[i] < log.size()) {
+        lastEffects[i] = 0;
+        managers[i] = new LeaseManager(
+                "d",
+                new LeaseOwner(i, incarnation[i]),
+                LEASE_DURATION,
+                maxClockDrift(),
+                true,
+                time,
+                () -> 0,
+                actions(i));
+        appliedCommands[i] = 0;
+        while (appliedCommands[i] < log.size()) {
             apply(i);
         }
     }
 
-    private interface Does {
-        void to(LeaseModel world);
+    /** The change that a step makes to a state of the model. */
+    private interface Transition {
+        void apply(LeaseModel model);
     }
 
-    private record Step(String name, Does does) {}
+    private record Step(String name, Transition transition) {}
 
-    private record Place(LeaseModel world, Place from, String by, int depth) {
-        List<String> way() {
-            List<String> way = from == null ? new ArrayList<>() : from.way();
-            if (by != null) {
-                way.add(by);
+    /** A reached state, with the step that led to it from its predecessor. */
+    private record Node(LeaseModel model, Node predecessor, String stepName, int depth) {
+        List<String> trace() {
+            List<String> trace = predecessor == null ? new ArrayList<>() : predecessor.trace();
+            if (stepName != null) {
+                trace.add(stepName);
             }
-            return way;
+            return trace;
         }
     }
 
-    /** What came of it: how many states, and the way to the first that must not be, empty if there is none. */
-    record Explored(int states, String wrong, List<String> way) {}
+    /** The result of an exploration: the number of states, the first violation or null, and the steps that lead to it. */
+    record Exploration(int states, String violation, List<String> trace) {}
 
-    /** From a beginning in which any member may take the duty, or one has just taken it and all have heard; so many steps at most. */
-    static Explored explore(Bug bug, boolean owned, int depth, int most) {
-        LeaseModel first = new LeaseModel(bug);
-        first.time += LENGTH;
-        if (owned) {
-            first.holders[0].tick(first.time);
-            first.commit(0);
-            first.pending.clear();
+    /**
+     * Explores all states that can be reached in a limited number of steps. Initially any member may acquire the lease or, if {@code
+     * initiallyOwned}, one member has just acquired it and all members have applied that.
+     */
+    static Exploration explore(Bug bug, boolean initiallyOwned, int maxDepth, int maxStates) {
+        LeaseModel initial = new LeaseModel(bug);
+        initial.time += LEASE_DURATION;
+        if (initiallyOwned) {
+            initial.managers[0].tick(initial.time);
+            initial.commit(0);
+            initial.pendingProposals.clear();
             for (int i = 0; i < MEMBERS; i++) {
-                first.apply(i);
+                initial.apply(i);
             }
         }
-        ArrayDeque<Place> open = new ArrayDeque<>(List.of(new Place(first, null, null, 0)));
+        ArrayDeque<Node> frontier = new ArrayDeque<>(List.of(new Node(initial, null, null, 0)));
         Set<List<Object>> seen = new HashSet<>();
-        while (!open.isEmpty()) {
-            Place at = open.poll();
-            for (Step step : at.world.steps()) {
-                LeaseModel next = new LeaseModel(at.world);
-                step.does.to(next);
-                next.check();
-                Place place = new Place(next, at, step.name, at.depth + 1);
-                if (next.wrong != null) {
-                    return new Explored(seen.size(), next.wrong, place.way());
+        while (!frontier.isEmpty()) {
+            Node current = frontier.poll();
+            for (Step step : current.model.steps()) {
+                LeaseModel next = new LeaseModel(current.model);
+                step.transition.apply(next);
+                next.checkSingleOwner();
+                Node node = new Node(next, current, step.name, current.depth + 1);
+                if (next.violation != null) {
+                    return new Exploration(seen.size(), next.violation, node.trace());
                 }
-                if (seen.add(next.key()) && place.depth < depth && seen.size() < most) {
-                    open.add(place);
+                if (seen.add(next.key()) && node.depth < maxDepth && seen.size() < maxStates) {
+                    frontier.add(node);
                 }
             }
         }
-        return new Explored(seen.size(), null, List.of());
+        return new Exploration(seen.size(), null, List.of());
     }
 
+    /** Returns all bugs that can be planted. */
     static Set<Bug> bugs() {
-        Set<Bug> all = new TreeSet<>(Set.of(Bug.values()));
-        all.remove(Bug.NONE);
-        return all;
+        Set<Bug> bugs = new TreeSet<>(Set.of(Bug.values()));
+        bugs.remove(Bug.NONE);
+        return bugs;
     }
 }
--- a/balancer/src/test/java/gorsestack/fleet/LeaseModelTest.java
+++ b/balancer/src/test/java/gorsestack/fleet/LeaseModelTest.java
@@ -8,41 +8,43 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lease and fence, exhaustively in the small. */
+/** Tests leases and fencing tokens in all states of a small model. */
 class LeaseModelTest {
     private static final System.Logger LOG = System.getLogger("gorsestack.test");
-    /** Steps from the moment in which any of three may take the duty, and from that in which one has. */
+    /** Maximum number of steps from the state in which any of the three members may acquire the lease. */
     private static final int DEPTH = 8;
-
+    /** Maximum number of steps from the state in which one member has acquired the lease. */
     private static final int DEPTH_OWNED = 11;
-    private static final int MOST = 1_000_000;
+
+    private static final int MAX_STATES = 1_000_000;
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void nothingThatMustNotBeIsReached(boolean owned) {
-        LeaseModel.Explored all = LeaseModel.explore(LeaseModel.Bug.NONE, owned, owned ? DEPTH_OWNED : DEPTH, MOST);
-        assertNull(all.wrong(), all.wrong() + "\n" + String.join("\n", all.way()));
-        assertTrue(all.states() > 10_000 && all.states() < MOST, "all of them: " + all.states());
-        LOG.log(System.Logger.Level.INFO, "{0} states", all.states());
+    void reachesNoStateThatViolatesAnInvariant(boolean initiallyOwned) {
+        LeaseModel.Exploration result = LeaseModel.explore(
+                LeaseModel.Bug.NONE, initiallyOwned, initiallyOwned ? DEPTH_OWNED : DEPTH, MAX_STATES);
+        assertNull(result.violation(), result.violation() + "\n" + String.join("\n", result.trace()));
+        assertTrue(result.states() > 10_000 && result.states() < MAX_STATES, "number of states: " + result.states());
+        LOG.log(System.Logger.Level.INFO, "{0} states", result.states());
     }
 
-    /** The check finds what it is there for. */
+    /** Proves that the checks find the faults that they are meant to find. */
     @Test
-    void eachPlantedBugIsFound() {
+    void findsEachPlantedBug() {
         for (LeaseModel.Bug bug : LeaseModel.bugs()) {
-            LeaseModel.Explored all = LeaseModel.explore(bug, false, 7, MOST);
-            if (all.wrong() == null) {
-                all = LeaseModel.explore(bug, true, DEPTH_OWNED, MOST);
+            LeaseModel.Exploration result = LeaseModel.explore(bug, false, 7, MAX_STATES);
+            if (result.violation() == null) {
+                result = LeaseModel.explore(bug, true, DEPTH_OWNED, MAX_STATES);
             }
-            assertNotNull(all.wrong(), bug + " not found in " + all.states() + " states");
+            assertNotNull(result.violation(), bug + " not found in " + result.states() + " states");
             LOG.log(
                     System.Logger.Level.INFO,
-                    "{0} in {1} steps, {2} states: {3}\n{4}",
+                    "{0} found in {1} steps and {2} states: {3}\n{4}",
                     bug,
-                    all.way().size(),
-                    all.states(),
-                    all.wrong(),
-                    String.join("\n", all.way()));
+                    result.trace().size(),
+                    result.states(),
+                    result.violation(),
+                    String.join("\n", result.trace()));
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/fleet/store/MemberLogFormatTest.java
+++ b/balancer/src/test/java/gorsestack/fleet/store/MemberLogFormatTest.java
@@ -23,11 +23,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A member's log: as it is appended to, and as the next process rewrites it. */
+/**
+ * Compares the member log with stored fixtures, as it is appended to and as the next process compacts it. The format must stay readable for
+ * later versions.
+ */
 class MemberLogFormatTest {
     private static final Fixture ENTRIES = new Fixture("member-log-entries.txt");
     private static final Fixture APPENDED = new Fixture("member-log-appended.txt");
-    private static final Fixture REWRITTEN = new Fixture("member-log-rewritten.txt");
+    private static final Fixture COMPACTED = new Fixture("member-log-rewritten.txt");
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
     private static final int TERM = 3;
     private static final LeaseOwner OWNER = new LeaseOwner(2, 5);
@@ -85,11 +88,11 @@
         log.flush();
     }
 
-    private static Map<String, LeaseTable.Entry> duties() {
-        Map<String, LeaseTable.Entry> duties = new TreeMap<>();
-        duties.put("d", new LeaseTable.Entry(4, OWNER, 1, 3_000, Map.of("w", "what\n{}")));
-        duties.put("free", new LeaseTable.Entry(2, null, 1, 500, Map.of()));
-        return duties;
+    private static Map<String, LeaseTable.Entry> leases() {
+        Map<String, LeaseTable.Entry> leases = new TreeMap<>();
+        leases.put("d", new LeaseTable.Entry(4, OWNER, 1, 3_000, Map.of("w", "what\n{}")));
+        leases.put("free", new LeaseTable.Entry(2, null, 1, 500, Map.of()));
+        return leases;
     }
 
     private static void writeSnapshot(MemberLog log, long index) throws IOException {
@@ -99,7 +102,7 @@
                 .setSnapshotChunkIndex(0)
                 .setSnapshotChunkCount(1)
                 .setGroupMembersView(members())
-                .setOperation(duties())
+                .setOperation(leases())
                 .build());
     }
 
@@ -114,26 +117,26 @@
     }
 
     @Test
-    void writesTheFixtureOfEntries() throws IOException {
+    void writesEntriesAsInFixture() throws IOException {
         writeEntries(log());
         ENTRIES.assertSame(stored());
     }
 
     @Test
-    void writesTheAppendedFixture() throws IOException {
+    void appendsSnapshotsAndTruncationsAsInFixture() throws IOException {
         writeAll(log());
         APPENDED.assertSame(stored());
     }
 
     @Test
-    void rewritesTheAppendedFixture() throws IOException {
+    void compactsAppendedFixtureToCompactedFixtureWhenOpened() throws IOException {
         Files.write(folder.resolve("log"), APPENDED.input());
         log();
-        REWRITTEN.assertSame(stored());
+        COMPACTED.assertSame(stored());
     }
 
     @Test
-    void readsTheFixtureOfEntries() throws IOException {
+    void restoresStateFromFixtureOfEntries() throws IOException {
         Files.write(folder.resolve("log"), ENTRIES.bytes());
         RestoredRaftState restored = log().restored();
         assertEquals(
@@ -153,15 +156,15 @@
     }
 
     @Test
-    void readsTheSnapshot() throws IOException {
-        for (Fixture fixture : List.of(APPENDED, REWRITTEN)) {
+    void restoresSnapshotFromAppendedAndCompactedFixtures() throws IOException {
+        for (Fixture fixture : List.of(APPENDED, COMPACTED)) {
             Files.write(folder.resolve("log"), fixture.bytes());
             RestoredRaftState restored = log().restored();
             assertEquals(4, restored.getSnapshotEntry().getIndex());
             assertEquals(
                     List.of(5L),
                     restored.getLogEntries().stream().map(LogEntry::getIndex).toList());
-            assertTrue(restored.getSnapshotEntry().getOperation().toString().contains(duties().toString()));
+            assertTrue(restored.getSnapshotEntry().getOperation().toString().contains(leases().toString()));
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/fleet/store/MemberLogTest.java
+++ b/balancer/src/test/java/gorsestack/fleet/store/MemberLogTest.java
@@ -24,16 +24,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests that the member log restores what was written, detects damage, stays bounded and rejects writes after a failed one. */
 class MemberLogTest {
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
-    private static final LeaseOwner ME = new LeaseOwner(2, 5);
+    private static final LeaseOwner OWNER = new LeaseOwner(2, 5);
     private static final List<Object> OPERATIONS = List.of(
             "term",
-            new LeaseCommand.Acquire("d \"é\"\n", ME, 1, 0, 3_000, 7),
-            new LeaseCommand.Renew("d", ME, 2, 1, 1_000, 3),
-            new LeaseCommand.BeginWork("d", ME, 3, 1, "w", "what\n{}"),
-            new LeaseCommand.FinishWork("d", ME, 4, 1, "w"),
-            new LeaseCommand.Release("d", ME, 5, 1));
+            new LeaseCommand.Acquire("d \"é\"\n", OWNER, 1, 0, 3_000, 7),
+            new LeaseCommand.Renew("d", OWNER, 2, 1, 1_000, 3),
+            new LeaseCommand.BeginWork("d", OWNER, 3, 1, "w", "what\n{}"),
+            new LeaseCommand.FinishWork("d", OWNER, 4, 1, "w"),
+            new LeaseCommand.Release("d", OWNER, 5, 1));
 
     @TempDir
     private Path folder;
@@ -55,7 +56,7 @@
                 .build();
     }
 
-    private static void begin(MemberLog log) throws IOException {
+    private static void writeEntries(MemberLog log) throws IOException {
         log.persistAndFlushLocalEndpoint(MODELS.createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(new Member(2, 9))
                 .setVoting(true)
@@ -71,7 +72,7 @@
         log.flush();
     }
 
-    private static String of(RestoredRaftState r) {
+    private static String describe(RestoredRaftState r) {
         return r.getLocalEndpointPersistentState().getLocalEndpoint() + " "
                 + r.getTermPersistentState().getTerm() + " "
                 + r.getTermPersistentState().getVotedFor() + " "
@@ -84,43 +85,47 @@
     }
 
     @Test
-    void readsWhatItWrote() throws Exception {
+    void restoresStateThatWasWritten() throws Exception {
         MemberLog log = new MemberLog(new FileStorage(folder), "log");
         assertNull(log.restored());
-        begin(log);
-        RestoredRaftState found = new MemberLog(new FileStorage(folder), "log").restored();
-        assertEquals(of(log.restored()), of(found));
+        writeEntries(log);
+        RestoredRaftState restored = new MemberLog(new FileStorage(folder), "log").restored();
+        assertEquals(describe(log.restored()), describe(restored));
         assertEquals(
                 OPERATIONS,
-                found.getLogEntries().stream().map(LogEntry::getOperation).toList());
-        assertEquals(new Member(1, 1), found.getTermPersistentState().getVotedFor());
+                restored.getLogEntries().stream().map(LogEntry::getOperation).toList());
+        assertEquals(new Member(1, 1), restored.getTermPersistentState().getVotedFor());
     }
 
-    /** Cut off at any byte what was whole is found; with any byte changed in front of whole lines, it is refused. */
+    /**
+     * A file that is cut off at any byte is restored up to its last whole line. A file with a changed byte before an intact line is
+     * rejected.
+     */
     @Test
-    void aTornTailIsLeftAndDamageRefused() throws Exception {
+    void dropsTruncatedLastLineAndRejectsOtherDamage() throws Exception {
         CrashingStorage disk = new CrashingStorage(() -> 0);
         MemberLog log = new MemberLog(disk, "log");
-        begin(log);
+        writeEntries(log);
         byte[] all = disk.read("log");
-        int last = 0;
-        for (int cut = 0; cut <= all.length; cut++) {
-            CrashingStorage torn = new CrashingStorage(() -> 0);
-            torn.write("log", Arrays.copyOf(all, cut));
-            RestoredRaftState found = new MemberLog(torn, "log").restored();
-            int entries = found == null ? 0 : found.getLogEntries().size();
-            assertTrue(entries == last || entries == last + 1, "cut at " + cut);
-            last = entries;
-            // And what is added then is found behind what was whole.
-            if (found != null && cut % 7 == 0) {
-                MemberLog on = new MemberLog(torn, "log");
-                on.persistLogEntries(List.of(entry(99, "more")));
-                on.flush();
-                List<LogEntry> now = new MemberLog(torn, "log").restored().getLogEntries();
-                assertEquals("more", now.get(now.size() - 1).getOperation());
+        int lastEntries = 0;
+        for (int length = 0; length <= all.length; length++) {
+            CrashingStorage truncated = new CrashingStorage(() -> 0);
+            truncated.write("log", Arrays.copyOf(all, length));
+            RestoredRaftState restored = new MemberLog(truncated, "log").restored();
+            int entries = restored == null ? 0 : restored.getLogEntries().size();
+            assertTrue(entries == lastEntries || entries == lastEntries + 1, "truncated at byte " + length);
+            lastEntries = entries;
+            // An entry that is appended after the truncation is restored after the intact ones.
+            if (restored != null && length % 7 == 0) {
+                MemberLog reopened = new MemberLog(truncated, "log");
+                reopened.persistLogEntries(List.of(entry(99, "more")));
+                reopened.flush();
+                List<LogEntry> entriesNow =
+                        new MemberLog(truncated, "log").restored().getLogEntries();
+                assertEquals("more", entriesNow.get(entriesNow.size() - 1).getOperation());
             }
         }
-        assertEquals(OPERATIONS.size(), last);
+        assertEquals(OPERATIONS.size(), lastEntries);
         int lastLine =
                 new String(all, java.nio.charset.StandardCharsets.ISO_8859_1).lastIndexOf('\n', all.length - 2) + 1;
         for (int i = 0; i < lastLine - 1; i++) {
@@ -128,18 +133,18 @@
             byte[] changed = all.clone();
             changed[i] ^= 1;
             damaged.write("log", changed);
-            assertThrows(IOException.class, () -> new MemberLog(damaged, "log"), "changed at " + i);
+            assertThrows(IOException.class, () -> new MemberLog(damaged, "log"), "changed at byte " + i);
         }
     }
 
     @Test
-    void snapshotsAndTruncationsHoldAndTheFileStaysBounded() throws Exception {
+    void restoresSnapshotAndTruncationsAndKeepsFileBounded() throws Exception {
         CrashingStorage disk = new CrashingStorage(() -> 0);
         MemberLog log = new MemberLog(disk, "log");
-        begin(log);
-        int most = 0;
+        writeEntries(log);
+        int maxBytes = 0;
         for (int i = 7; i < 60_000; i++) {
-            log.persistLogEntries(List.of(entry(i, new LeaseCommand.Renew("d", ME, i, 1, 1_000, 3))));
+            log.persistLogEntries(List.of(entry(i, new LeaseCommand.Renew("d", OWNER, i, 1, 1_000, 3))));
             if (i % 2_000 == 0) {
                 log.persistSnapshotChunk(MODELS.createSnapshotChunkBuilder()
                         .setIndex(i)
@@ -147,7 +152,7 @@
                         .setSnapshotChunkIndex(0)
                         .setSnapshotChunkCount(1)
                         .setGroupMembersView(members())
-                        .setOperation(Map.of("d", new LeaseTable.Entry(i, ME, 1, 3_000, Map.of("w", "what"))))
+                        .setOperation(Map.of("d", new LeaseTable.Entry(i, OWNER, 1, 3_000, Map.of("w", "what"))))
                         .build());
                 log.flush();
                 log.deleteSnapshotChunks(i - 2_000, 1);
@@ -155,25 +160,25 @@
             }
             if (i % 500 == 0) {
                 log.flush();
-                most = Math.max(most, disk.read("log").length);
+                maxBytes = Math.max(maxBytes, disk.read("log").length);
             }
         }
         log.truncateLogEntriesFrom(59_999);
         log.flush();
-        assertTrue(most < 3 << 20, most + " bytes");
-        RestoredRaftState found = new MemberLog(disk, "log").restored();
-        assertEquals(58_000, found.getSnapshotEntry().getIndex());
-        assertEquals(1_998, found.getLogEntries().size());
-        Object entries = found.getSnapshotEntry().getOperation();
+        assertTrue(maxBytes < 3 << 20, maxBytes + " bytes");
+        RestoredRaftState restored = new MemberLog(disk, "log").restored();
+        assertEquals(58_000, restored.getSnapshotEntry().getIndex());
+        assertEquals(1_998, restored.getLogEntries().size());
+        Object entries = restored.getSnapshotEntry().getOperation();
         assertTrue(entries.toString().contains("what"), entries.toString());
     }
 
-    /** Danger: half a line of a write that failed, and whole ones behind it. */
+    /** Prevents whole lines after the half line of a failed write, which a later process would take for damage and reject. */
     @Test
-    void afterAWriteThatFailedNothingIsAdded() throws Exception {
+    void rejectsWritesAfterAFailedWrite() throws Exception {
         CrashingStorage disk = new CrashingStorage(() -> 0.5);
         MemberLog log = new MemberLog(disk, "log");
-        begin(log);
+        writeEntries(log);
         disk.full = true;
         log.persistLogEntries(List.of(entry(7, "x")));
         assertThrows(IOException.class, log::flush);
