--- a/lab/src/main/java/gorsestack/lab/scenario/FaultReader.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/FaultReader.java
@@ -5,21 +5,27 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Reads the faults of a scenario. */
+/** Reads and validates the faults of a scenario for {@link ScenarioReader}. Has no state. */
 final class FaultReader {
     private static final double MAX_SECONDS = 3600;
+    /** What may become of the state folder of a process before the process is started again. */
     private static final List<String> STATE_FOLDERS =
             List.of("kept", "lost", "truncated", "older", "unwritable", "swapped");
 
     private FaultReader() {}
 
-    /** Reads one [[faults]] table of a scenario that lasts so many seconds. */
+    /**
+     * Reads one [[faults]] table.
+     *
+     * @param number index of the fault in the scenario
+     * @param seconds duration of the scenario, which limits the time of the fault
+     */
     static Fault read(Section section, int number, double seconds) throws InvalidScenarioException {
         String kind = section.oneOf("kind", null, FaultKinds.all());
         String triggerPattern = section.has("when_log") ? section.text("when_log", null) : "";
         String triggerBalancer = section.has("when_log") ? section.text("when_balancer", null) : "";
         double at = section.number("at", triggerPattern.isEmpty() ? Section.REQUIRED : 0, 0, seconds);
-        String from = FaultKinds.needsFrom(kind) ? parties(section, "from") : "";
+        String from = FaultKinds.requiresFrom(kind) ? parties(section, "from") : "";
         String to = FaultKinds.LINK.contains(kind)
                 ? parties(section, "to")
                 : kind.equals("calls") ? systemCall(section) : "";
@@ -30,11 +36,11 @@
                 at,
                 triggerBalancer,
                 triggerPattern,
-                FaultKinds.lasting(kind) ? section.number("lasts", Section.REQUIRED, 0.01, MAX_SECONDS) : 0,
+                FaultKinds.hasDuration(kind) ? section.number("lasts", Section.REQUIRED, 0.01, MAX_SECONDS) : 0,
                 from,
                 to,
                 size,
-                section.number("restart_after", FaultKinds.restarted(kind) ? 0 : -1, -1, MAX_SECONDS),
+                section.number("restart_after", FaultKinds.restartsByDefault(kind) ? 0 : -1, -1, MAX_SECONDS),
                 section.oneOf("state", "kept", STATE_FOLDERS),
                 section.number("every", 0, 0, 600),
                 section.flag("both_ways", true),
@@ -43,7 +49,7 @@
         return fault;
     }
 
-    /** The size of a fault; its meaning and range depend on the kind, and some have none. */
+    /** Returns the size of a fault. Its meaning and range depend on the kind; it is 0 for kinds that have no size. */
     private static double size(Section section, String kind) throws InvalidScenarioException {
         return switch (kind) {
             case "delay" -> section.number("size", Section.REQUIRED, 0, 60_000);
@@ -66,21 +72,21 @@
         };
     }
 
-    /** Which system call fails, and with which error: accept ENFILE. */
+    /** Returns the system call that fails and its error, for example {@code accept ENFILE}. */
     private static String systemCall(Section section) throws InvalidScenarioException {
         String text = section.text("call", null);
         String[] words = text.split(" ");
         boolean known = words.length == 2
                 && Arrays.stream(Shim.SystemCall.values())
                         .anyMatch(call -> call.name().equalsIgnoreCase(words[0]))
-                && Shim.knows(words[1]);
+                && Shim.supportsError(words[1]);
         if (!known) {
-            throw section.invalid("call", "must be a call and an error, as accept ENFILE, not " + text);
+            throw section.invalid("call", "must be a system call and an error, such as accept ENFILE, not " + text);
         }
         return text;
     }
 
-    /** An expression that selects parties; docs/lab.md describes its grammar. */
+    /** Returns an expression that selects parties. docs/lab.md describes its grammar. */
     private static String parties(Section section, String key) throws InvalidScenarioException {
         String text = section.text(key, null);
         for (String term : text.split("@", -1)) {
@@ -92,7 +98,8 @@
                 throw section.invalid(
                         key,
                         "must be balancers, front, later, upstreams, clients, discovery, all, a name, zone:Z, tier:N or"
-                                + " share:0.x, ! before one for all others, or some joined by @, not " + text);
+                                + " share:0.x, one of them after ! to select all others, or several joined by @, not "
+                                + text);
             }
         }
         return text;
--- a/lab/src/main/java/gorsestack/lab/scenario/InvalidScenarioException.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/InvalidScenarioException.java
@@ -1,6 +1,6 @@
 package gorsestack.lab.scenario;
 
-/** A scenario file that cannot be read or makes no sense; the one-line message names file, line and key. */
+/** Thrown for a scenario file that cannot be read or has invalid values. The message is one line that names the file, line and key. */
 public final class InvalidScenarioException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/lab/src/main/java/gorsestack/lab/scenario/Period.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/Period.java
@@ -4,23 +4,23 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The part of a run over which a metric is computed. */
+/** The part of a run over which the metric of an invariant is computed. Scenarios and results contain the names in lower case. */
 public enum Period {
     /** The whole run. */
     ALL,
-    /** Until the first measured fault. */
+    /** The time from the start of the run to the first measured fault. */
     BEFORE,
-    /** The 30 seconds from the first measured fault on. */
+    /** The 30 seconds after the begin of the first measured fault. */
     AFTER,
-    /** The last 10 seconds. */
+    /** The last 10 seconds of the run. */
     END;
 
-    /** The name of the period in scenarios and results. */
+    /** Returns the name of the period in scenarios and results. */
     public String key() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** The period of a name in a scenario. */
+    /** Returns the period with a name of a scenario. */
     public static Period of(String key) {
         return valueOf(key.toUpperCase(Locale.ROOT));
     }
--- a/lab/src/main/java/gorsestack/lab/scenario/Scenario.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/Scenario.java
@@ -3,8 +3,9 @@
 import java.util.List;
 
 /**
- * Everything that defines a run: the fleet, the parties around it, the faults to inject, and the invariants to check. Times are in seconds
- * unless the name of a component says otherwise. docs/lab.md describes the keys of the file.
+ * The definition of a run: the fleet, the parties around it, the faults to inject, and the invariants to check. {@link ScenarioReader}
+ * creates it from a scenario file, whose keys docs/lab.md describes; the whole lab reads it. Times are in seconds unless the name of a
+ * component says otherwise. Immutable.
  */
 public record Scenario(
         String name,
@@ -24,8 +25,8 @@
         List<Invariant> invariants) {
 
     /**
-     * The balancers of the first tier, their resources, and the health checks of the front proxies. Each upstream that calls a further tier
-     * has one more balancer as its sidecar.
+     * The balancers of the first tier, their resources, and the health checks of the front proxies. In addition, each upstream that calls a
+     * further tier has one balancer as its sidecar.
      */
     public record Fleet(
             int balancers,
@@ -41,8 +42,10 @@
             double deadTimeout) {}
 
     /**
-     * The upstreams of one tier. Each request makes callsToNextTier sequential calls to the next tier; finishesAbandonedWork says whether
-     * requests whose caller has disconnected are processed all the same.
+     * The upstreams of one tier.
+     *
+     * @param callsToNextTier number of sequential calls that each request makes to the next tier
+     * @param finishesAbandonedWork whether requests whose caller has disconnected are still processed to the end
      */
     public record Tier(
             String name,
@@ -56,11 +59,18 @@
             int callsToNextTier,
             boolean finishesAbandonedWork) {}
 
-    /** The discovery service: its capacity, how long a call may wait in it, and how late it publishes changes and notices crashes. */
+    /**
+     * The discovery service.
+     *
+     * @param callsPerSecond capacity of the service
+     * @param maxWait longest time that a call may wait in the service
+     * @param propagationDelay delay between a change and its publication
+     * @param failureDetectionDelay delay between a crash and its detection
+     */
     public record Discovery(
             double callsPerSecond, double maxWait, double propagationDelay, double failureDetectionDelay) {}
 
-    /** The settings of the balancers that their behavior is verified against. */
+    /** The settings of the balancers against which their behavior is verified. */
     public record Rules(
             double drainGrace,
             double slowStartPeriod,
@@ -77,8 +87,9 @@
             double idleMs) {}
 
     /**
-     * A kind of call. Semantics says whether it may be executed more than once: free (idempotent), guarded (deduplicated by a key), or
-     * single_shot.
+     * A kind of call.
+     *
+     * @param semantics whether a call may be executed more than once: free (idempotent), guarded (deduplicated by a key) or single_shot
      */
     public record Product(
             String name,
@@ -93,28 +104,34 @@
             double value,
             double lateValue) {
 
-        /** Whether any upstream may execute the call any number of times. */
+        /** Returns whether any upstream may execute the call any number of times. */
         public boolean idempotent() {
             return semantics.equals("free");
         }
 
-        /** Whether upstreams deduplicate the call by its idempotency key. */
+        /** Returns whether upstreams deduplicate the call by its idempotency key. */
         public boolean deduplicated() {
             return semantics.equals("guarded");
         }
 
-        /** Whether the call must not be sent again unless it is known not to have been executed. */
+        /** Returns whether the call must not be sent again unless it is known not to have been executed. */
         public boolean singleShot() {
             return semantics.equals("single_shot");
         }
     }
 
-    /** A tenant whose calls carry its name, and its weight among all tenants. */
+    /**
+     * A tenant, whose name its calls carry.
+     *
+     * @param weight share of the calls, relative to the weights of the other tenants
+     */
     public record Tenant(String name, double weight) {}
 
     /**
-     * The calls of clients: a Poisson process with a rate for the whole fleet. Zone imbalance is the rate of the busiest zone over that of the
-     * quietest.
+     * The calls of clients, which are a Poisson process.
+     *
+     * @param rate calls per second to the whole fleet
+     * @param zoneImbalance ratio of the rate of the busiest zone to that of the least busy zone
      */
     public record Load(
             double rate,
@@ -124,7 +141,16 @@
             double tryTimeoutFraction,
             double abandonFraction) {}
 
-    /** One fault to inject, at a time or when a line of a balancer's log matches a pattern. */
+    /**
+     * One fault to inject, either at a time or when a line of a balancer's log matches a pattern.
+     *
+     * @param at time of the fault or, if a log line triggers it, time from which the log is watched
+     * @param triggerBalancer balancer whose log triggers the fault, or empty
+     * @param triggerPattern pattern of the log line that triggers the fault, or empty
+     * @param size extent of the fault, whose meaning depends on the kind
+     * @param restartDelay time until what the fault has ended is started again, or -1 for never
+     * @param measured whether metrics are computed relative to this fault
+     */
     public record Fault(
             int number,
             String kind,
@@ -141,20 +167,20 @@
             boolean bothDirections,
             boolean measured) {
 
-        /** The fault in words, for reports. */
+        /** Returns the kind of the fault and its parties, for reports. */
         public String label() {
             return kind + (from.isEmpty() ? "" : " " + from) + (to.isEmpty() ? "" : " to " + to);
         }
     }
 
-    /** The bounds of a metric over a period. */
+    /** The bounds of a metric over a period. An absent bound is infinite. */
     public record Invariant(String metric, Period period, double min, double max) {
-        /** Whether a value is within the bounds. */
+        /** Returns whether a value is within the bounds. */
         public boolean holds(double value) {
             return value >= min && value <= max;
         }
 
-        /** The bounds in words, for reports. */
+        /** Returns the bounds as text, for reports. */
         public String expected() {
             return (min > Double.NEGATIVE_INFINITY ? "at least " + min : "")
                     + (max < Double.POSITIVE_INFINITY
@@ -163,7 +189,7 @@
         }
     }
 
-    /** The number of all balancers: those of the first tier and the sidecars of upstreams that call a further tier. */
+    /** Returns the number of all balancers, which are those of the first tier and the sidecars of upstreams that call a further tier. */
     public int processes() {
         int total = fleet.balancers;
         for (int tier = 0; tier + 1 < tiers.size(); tier++) {
--- a/lab/src/main/java/gorsestack/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/ScenarioReader.java
@@ -16,13 +16,16 @@
 import org.tomlj.TomlParseError;
 import org.tomlj.TomlParseResult;
 
-/** Reads and validates a scenario file; each error is one line with file, line and key. */
+/**
+ * Reads and validates scenario files, for the commands of the lab and for the soak. Each error is one line with file, line and key. Has no
+ * state.
+ */
 public final class ScenarioReader {
     private static final int MAX_PROCESSES = 200;
     private static final double MAX_SECONDS = 3600;
     private static final double UNBOUNDED = Double.POSITIVE_INFINITY;
 
-    /** The metrics that an invariant may name, in the order in which results list them. */
+    /** Names of the metrics that an invariant may use, in the order in which results list them. */
     public static final List<String> METRICS = List.of(
             "served",
             "served_worst_second",
@@ -51,12 +54,12 @@
 
     private ScenarioReader() {}
 
-    /** Reads the text of a scenario; the name of the file is used in error messages only. */
+    /** Reads the text of a scenario. The name of the file is used in error messages only. */
     public static Scenario read(String file, String text) throws InvalidScenarioException {
         Section root = new Section(file, "", parse(file, text), 1);
         List<String> zones = root.texts("zones", List.of("a", "b", "c"));
         if (zones.isEmpty() || new HashSet<>(zones).size() < zones.size()) {
-            throw root.invalid("zones", "must be names, each once");
+            throw root.invalid("zones", "must be a list of one or more different names");
         }
         List<Tier> tiers = tiers(root);
         List<Product> products = products(root);
@@ -108,7 +111,7 @@
             tiers.add(tier(section, tiers.size()));
         }
         if (tiers.isEmpty()) {
-            throw root.invalid("tiers", "is missing: at least one [[tiers]]");
+            throw root.invalid("tiers", "is missing; at least one [[tiers]] is required");
         }
         return tiers;
     }
@@ -204,7 +207,7 @@
         return product;
     }
 
-    /** One product of each semantics, for scenarios that name none. */
+    /** Returns one product of each semantics, for scenarios that define no products. */
     private static List<Product> defaultProducts() {
         return List.of(
                 new Product("read", "free", "zone", 6, 0.6, 20, 0.5, 1200, 3000, 1, 0.5),
@@ -231,7 +234,7 @@
             throw section.invalid("figure", "needs at_least or at_most");
         }
         if (relatesToFault(metric, period) && faults.stream().noneMatch(Fault::measured)) {
-            throw section.invalid("figure", "is counted from a fault, and there is none");
+            throw section.invalid("figure", "is measured from a fault, but the scenario has no measured fault");
         }
         Invariant invariant = new Invariant(
                 metric,
@@ -242,6 +245,7 @@
         return invariant;
     }
 
+    /** Returns whether a metric over a period is computed relative to the first measured fault. */
     private static boolean relatesToFault(String metric, Period period) {
         return period == Period.BEFORE
                 || period == Period.AFTER
--- a/lab/src/main/java/gorsestack/lab/scenario/Section.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/Section.java
@@ -9,14 +9,15 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of a scenario file. Callers read each key with its type, range and default; keys that nobody has read are rejected, because a
- * misspelled key would mean a fault that never happens and a run that proves nothing.
+ * One table of a scenario file, for {@link ScenarioReader} and {@link FaultReader}. Callers read each key with its type, range and default,
+ * and then reject the keys that were not read. Without this, a misspelled key would mean a fault that never happens and a run that proves
+ * nothing. Not thread-safe.
  */
 final class Section {
-    /** As the default of a number: the key has to be present. */
+    /** Default of a number whose key has to be present. */
     static final double REQUIRED = Double.NaN;
 
-    /** Reads one table of a list. */
+    /** Converts one table of a list to a value. */
     interface Reader<T> {
         T read(Section section) throws InvalidScenarioException;
     }
@@ -27,7 +28,13 @@
     private final int line;
     private final Set<String> knownKeys = new HashSet<>();
 
-    /** A table, or null for one that is absent; the path is the prefix of its keys in error messages. */
+    /**
+     * Creates a section.
+     *
+     * @param path prefix of the keys in error messages
+     * @param table the table, or null if it is absent
+     * @param line line of the table in the file
+     */
     Section(String file, String path, TomlTable table, int line) {
         this.file = file;
         this.path = path;
@@ -35,7 +42,7 @@
         this.line = line;
     }
 
-    /** The error to throw for an invalid value; it names file, line and key. */
+    /** Returns the error to throw for an invalid value, which names the file, line and key. */
     InvalidScenarioException invalid(String key, String reason) {
         TomlPosition position =
                 table == null || !table.contains(List.of(key)) ? null : table.inputPositionOf(List.of(key));
@@ -48,11 +55,12 @@
         return table == null ? null : table.get(List.of(key));
     }
 
+    /** Returns whether a key is present. */
     boolean has(String key) {
         return value(key) != null;
     }
 
-    /** A text; null as the default makes it required. */
+    /** Returns a text. The key is required if its default is null. */
     String text(String key, String defaultValue) throws InvalidScenarioException {
         Object value = value(key);
         if (value == null) {
@@ -67,6 +75,7 @@
         return text;
     }
 
+    /** Returns a text that has to be one of the given words. The key is required if its default is null. */
     String oneOf(String key, String defaultValue, List<String> words) throws InvalidScenarioException {
         String text = text(key, defaultValue);
         if (!words.contains(text)) {
@@ -75,6 +84,7 @@
         return text;
     }
 
+    /** Returns a number within a range. The key is required if its default is {@link #REQUIRED}. */
     double number(String key, double defaultValue, double min, double max) throws InvalidScenarioException {
         Object value = value(key);
         if (value == null) {
@@ -90,6 +100,7 @@
         return number;
     }
 
+    /** Returns a whole number within a range. */
     int integer(String key, int defaultValue, int min, int max) throws InvalidScenarioException {
         double number = number(key, defaultValue, min, max);
         if (number != Math.rint(number)) {
@@ -98,6 +109,7 @@
         return (int) number;
     }
 
+    /** Returns true or false. */
     boolean flag(String key, boolean defaultValue) throws InvalidScenarioException {
         Object value = value(key);
         if (value != null && !(value instanceof Boolean)) {
@@ -106,6 +118,7 @@
         return value == null ? defaultValue : (Boolean) value;
     }
 
+    /** Returns a list of texts. */
     List<String> texts(String key, List<String> defaultValue) throws InvalidScenarioException {
         Object value = value(key);
         if (value == null) {
@@ -124,7 +137,7 @@
         return texts;
     }
 
-    /** A table within this one; an absent one has all defaults. */
+    /** Returns a table within this one. All keys of an absent table have their defaults. */
     Section section(String key) throws InvalidScenarioException {
         Object value = value(key);
         if (value != null && !(value instanceof TomlTable)) {
@@ -135,7 +148,7 @@
         return new Section(file, path + key + ".", (TomlTable) value, position);
     }
 
-    /** A list of tables within this one, read one by one. */
+    /** Returns the values that a reader converts the tables of a list to. */
     <T> List<T> list(String key, Reader<T> reader) throws InvalidScenarioException {
         List<T> items = new ArrayList<>();
         for (Section section : sections(key)) {
@@ -144,6 +157,7 @@
         return items;
     }
 
+    /** Returns the tables of a list, which is empty if the key is absent. */
     List<Section> sections(String key) throws InvalidScenarioException {
         Object value = value(key);
         if (value == null) {
@@ -166,7 +180,7 @@
         return sections;
     }
 
-    /** Rejects keys that have not been read. */
+    /** Throws an error if the table has a key that was not read. */
     void rejectUnknownKeys() throws InvalidScenarioException {
         if (table == null) {
             return;
--- a/lab/src/main/java/gorsestack/lab/scenario/package-info.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Scenario files: their model, and their reader, which validates every key.
- */
+/** Scenario files: the model of a scenario, and the reader that validates each key. */
 package gorsestack.lab.scenario;
--- a/lab/src/main/java/gorsestack/lab/shim/Shim.java
+++ b/lab/src/main/java/gorsestack/lab/shim/Shim.java
@@ -12,11 +12,12 @@
 import java.util.Map;
 
 /**
- * Faults of the operating system for single processes. Each process is started with a preloaded library, which is compiled here, and maps a
- * file next to its log that says which calls fail. Available only where a C compiler is installed.
+ * Injects faults of the operating system into single processes, for runs and for the soak. Each process is started with a preloaded
+ * library, which this class compiles. The library maps a control file, which lies next to the log of the process and says which calls fail.
+ * Available only where a C compiler is installed. Immutable.
  */
 public final class Shim {
-    /** A system call that can be made to fail; the order is that of the library. */
+    /** A system call that can be made to fail. The order is the same as in the library. */
     public enum SystemCall {
         ACCEPT,
         SOCKET,
@@ -29,7 +30,10 @@
         RENAME
     }
 
-    /** How a call fails: with an errno of Linux, or, if negative, short, or half done before the process is killed. */
+    /**
+     * Errors with which a call can fail. A positive value is an errno of Linux; -1 transfers only a part of the bytes; -2 writes half of
+     * the bytes and kills the process.
+     */
     private static final Map<String, Integer> ERRORS = Map.ofEntries(
             Map.entry("EINTR", 4),
             Map.entry("EIO", 5),
@@ -58,7 +62,7 @@
         this.library = library;
     }
 
-    /** Compiles the library into a folder; null if there is no C compiler. */
+    /** Compiles the library into a folder. Returns null if there is no C compiler or if it fails. */
     public static Shim build(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve("faults.c");
         Path library = folder.resolve("faults.so");
@@ -78,13 +82,13 @@
         }
     }
 
-    /** The command with the library preloaded into what it starts. */
+    /** Returns a shell command that preloads the library into the process that the given command starts. */
     public String command(String command) {
         return "LD_PRELOAD=" + library + " " + command;
     }
 
-    /** Whether an error is one that a call can be made to fail with. */
-    public static boolean knows(String error) {
+    /** Returns whether a call can be made to fail with an error. */
+    public static boolean supportsError(String error) {
         return ERRORS.containsKey(error);
     }
 
@@ -92,12 +96,12 @@
         return log.resolveSibling(log.getFileName() + ".shim");
     }
 
-    /** Creates the control file of a process, with no faults; has to be called before the process starts. */
+    /** Creates the control file of a process, without faults. It has to exist before the process starts. */
     public static void createControlFile(Path log) throws IOException {
         Files.write(controlFile(log), new byte[FILE_SIZE]);
     }
 
-    /** Sets the wall clock of the process off by so many seconds, ahead or, if negative, back. */
+    /** Sets the wall clock of the process ahead by a number of seconds or, if that is negative, back. */
     public static void setClockOffset(Path log, double seconds) throws IOException {
         write(
                 log,
@@ -108,8 +112,8 @@
                         .flip());
     }
 
-    /** Makes a fraction of the calls fail with an error from now on; 0 ends that. */
-    @SuppressWarnings("EnumOrdinal") // the order of the calls is their place in the file that the shim reads
+    /** Makes a fraction of the calls fail with an error from now on. A fraction of 0 ends the fault. */
+    @SuppressWarnings("EnumOrdinal") // The ordinal of a call is its position in the control file.
     public static void fail(Path log, SystemCall call, String error, double fraction) throws IOException {
         write(
                 log,
--- a/lab/src/main/java/gorsestack/lab/shim/package-info.java
+++ b/lab/src/main/java/gorsestack/lab/shim/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Faults of the operating system under single processes, by a preloaded library.
- */
+/** Injection of operating system faults into single processes, by a preloaded library. */
 package gorsestack.lab.shim;
--- a/lab/src/main/java/gorsestack/lab/soak/Disturbance.java
+++ b/lab/src/main/java/gorsestack/lab/soak/Disturbance.java
@@ -5,9 +5,14 @@
 import java.util.SplittableRandom;
 import java.util.function.Function;
 
-/** Something that goes wrong during a run of the soak: a name, and the faults of a scenario file that bring it about. */
+/**
+ * A disturbance of a soak run, drawn by {@link Schedule}. Immutable.
+ *
+ * @param name description for reports
+ * @param faults [[faults]] tables of a scenario file that cause the disturbance
+ */
 public record Disturbance(String name, String faults) {
-    /** The longest duration of a disturbance in seconds. */
+    /** Maximum duration of a disturbance, in seconds. */
     static final double MAX_DURATION = 6;
 
     private static final List<Function<Draw, Disturbance>> KINDS = List.of(
@@ -23,9 +28,9 @@
             draw -> draw.lasting("discovery down", "discovery_down", "", draw.between(1, MAX_DURATION), ""),
             draw -> draw.lasting("discovery silent", "discovery_silent", "", draw.between(1, MAX_DURATION), ""),
             draw -> draw.lasting(
-                    "discovery crowded", "discovery_slow", "", draw.between(1, MAX_DURATION), "size = 1.5"),
+                    "discovery overloaded", "discovery_slow", "", draw.between(1, MAX_DURATION), "size = 1.5"),
             draw -> draw.lasting("discovery late", "discovery_late", "", draw.between(1, MAX_DURATION), "size = 2"),
-            draw -> draw.once("discovery half a line", "discovery_half_line", "", ""),
+            draw -> draw.once("discovery sends half a line", "discovery_half_line", "", ""),
             draw -> draw.once("discovery moves", "discovery_moves", "", ""),
             draw -> draw.once("upstreams drain", "replace", "upstreams@share:0.4", "every = 0.2"),
             draw -> draw.once(
@@ -34,17 +39,29 @@
             draw -> draw.lasting(
                     "upstreams fail", "errors", "upstreams@share:0.4", draw.between(1, MAX_DURATION), "size = 0.5"),
             draw -> draw.lasting(
-                    "answers spoilt", "spoil", "upstreams@share:0.4", draw.between(1, MAX_DURATION), "size = 0.3"),
+                    "responses corrupted", "spoil", "upstreams@share:0.4", draw.between(1, MAX_DURATION), "size = 0.3"),
             draw -> draw.lasting(
-                    "answers lost", "answer_lost", "upstreams@share:0.4", draw.between(1, MAX_DURATION), "size = 0.3"),
+                    "responses lost",
+                    "answer_lost",
+                    "upstreams@share:0.4",
+                    draw.between(1, MAX_DURATION),
+                    "size = 0.3"),
             draw -> draw.lasting(
-                    "answers without a length", "no_length", "upstreams", draw.between(2, MAX_DURATION), "size = 0.5"),
+                    "responses without a length",
+                    "no_length",
+                    "upstreams",
+                    draw.between(2, MAX_DURATION),
+                    "size = 0.5"),
             draw -> draw.lasting(
-                    "answers cut", "cut", "upstreams@share:0.5", draw.between(2, MAX_DURATION), "size = 0.3"),
+                    "responses truncated", "cut", "upstreams@share:0.5", draw.between(2, MAX_DURATION), "size = 0.3"),
             draw -> draw.lasting(
-                    "answers twice", "twice", "upstreams@share:0.5", draw.between(2, MAX_DURATION), "size = 0.3"),
+                    "responses sent twice",
+                    "twice",
+                    "upstreams@share:0.5",
+                    draw.between(2, MAX_DURATION),
+                    "size = 0.3"),
             draw -> draw.lasting(
-                    "connections closed behind answers",
+                    "connections closed after responses",
                     "closes_idle",
                     "upstreams",
                     draw.between(2, MAX_DURATION),
@@ -65,7 +82,7 @@
             draw -> draw.lasting("burst", "burst", "", draw.between(1, 4), "size = 3"),
             draw -> draw.lasting("rude clients", "rude", "front", MAX_DURATION, "size = 30"),
             draw -> draw.once(
-                    "wall clock of one process set",
+                    "wall clocks of some processes set",
                     "clock",
                     "front@share:0.3",
                     "size = " + draw.of("-3600", "-7", "7", "3600")),
@@ -79,18 +96,23 @@
             draw -> draw.systemCalls("fsync", "EIO", "ENOSPC"),
             draw -> draw.systemCalls("rename", "EIO", "ENOSPC"));
 
-    /** The number of kinds that can be drawn. */
+    /** Returns the number of kinds that can be drawn. */
     static int kinds() {
         return KINDS.size();
     }
 
-    /** Draws a disturbance of a kind that begins at a time. */
-    static Disturbance draw(int kind, SplittableRandom random, double at) {
-        return KINDS.get(kind).apply(new Draw(random, at));
+    /**
+     * Draws a disturbance.
+     *
+     * @param kind index of the kind
+     * @param startTime time in the run at which the disturbance begins, in seconds
+     */
+    static Disturbance draw(int kind, SplittableRandom random, double startTime) {
+        return KINDS.get(kind).apply(new Draw(random, startTime));
     }
 
-    /** The random choices for one disturbance. */
-    private record Draw(SplittableRandom random, double at) {
+    /** The random choices for one disturbance, and its begin in seconds. */
+    private record Draw(SplittableRandom random, double startTime) {
         double between(double min, double max) {
             return min + (max - min) * random.nextDouble();
         }
@@ -107,14 +129,14 @@
             return String.format(Locale.ROOT, "%.2f", number);
         }
 
-        private static String fault(double at, String kind, String from, String furtherKeys) {
-            return "[[faults]]\nkind = \"" + kind + "\"\nat = " + format(at) + "\n"
+        private static String fault(double startTime, String kind, String from, String furtherKeys) {
+            return "[[faults]]\nkind = \"" + kind + "\"\nat = " + format(startTime) + "\n"
                     + (from.isEmpty() ? "" : "from = \"" + from + "\"\n")
                     + (furtherKeys.isEmpty() ? "" : furtherKeys + "\n");
         }
 
         Disturbance once(String name, String kind, String from, String furtherKeys) {
-            return new Disturbance(name, fault(at, kind, from, furtherKeys));
+            return new Disturbance(name, fault(startTime, kind, from, furtherKeys));
         }
 
         Disturbance lasting(String name, String kind, String from, double duration, String furtherKeys) {
@@ -125,7 +147,7 @@
         Disturbance repeated(String name, int times, double interval, String kind, String from) {
             StringBuilder faults = new StringBuilder();
             for (int i = 0; i < times; i++) {
-                faults.append(fault(at + interval * i, kind, from, ""));
+                faults.append(fault(startTime + interval * i, kind, from, ""));
             }
             return new Disturbance(name, faults.toString());
         }
--- a/lab/src/main/java/gorsestack/lab/soak/Oracle.java
+++ b/lab/src/main/java/gorsestack/lab/soak/Oracle.java
@@ -21,22 +21,24 @@
 import java.util.stream.Stream;
 
 /**
- * Checks that the soak makes besides the verification of records: violations that the balancers have counted themselves, errors in their
- * logs, and leaks of descriptors, threads and memory.
+ * Checks the balancers of a soak run, in addition to the verification of records: violations that the balancers have counted themselves,
+ * errors in their logs, and leaks of descriptors, threads and memory. {@link Soak} creates one instance for each run.
  */
 final class Oracle implements RunObserver {
-    /** Lines of a balancer's log that report an error of the program itself. */
+    /** Matches lines of a balancer's log that report an error of the program itself. */
     private static final Pattern ERROR_LINE = Pattern.compile(
             "violation rule=|task failed|left unanswered|Exception in thread|OutOfMemory|java\\.lang\\.\\w*Error");
 
     private static final String VIOLATION_COUNTER = "violations.";
     private static final int MAX_LINES_PER_LOG = 5;
-    private static final int MAX_MORE_DESCRIPTORS = 40;
-    private static final int MAX_MORE_THREADS = 4;
-    private static final int MAX_MORE_MEMORY_KB = 24 << 10;
+    /** Growth since the start of the run above which a resource counts as leaked. */
+    private static final int MAX_DESCRIPTOR_GROWTH = 40;
+
+    private static final int MAX_THREAD_GROWTH = 4;
+    private static final int MAX_RESIDENT_GROWTH_KB = 24 << 10;
     private static final int STATUS_TIMEOUT_MS = 2_000;
 
-    /** What a process uses of the operating system. */
+    /** The resources of the operating system that a process uses. */
     private record ResourceUsage(long pid, int descriptors, int threads, int residentKb) {}
 
     private final Map<Integer, ResourceUsage> baselines = new HashMap<>();
@@ -44,12 +46,12 @@
     private final Map<String, Long> counters = new TreeMap<>();
     private Addresses addresses;
 
-    /** What is wrong, one line each. */
+    /** Returns the detected errors, one line each. */
     List<String> findings() {
         return findings;
     }
 
-    /** The counters of all balancers by their names, summed up. */
+    /** Returns the sums of the counters of all balancers, by name. */
     Map<String, Long> counters() {
         return counters;
     }
@@ -68,26 +70,26 @@
         }
     }
 
-    /** Only a process that has not been restarted can be compared. */
+    /** Compares the resource usage with the baseline, unless the process was restarted since. */
     private void checkResources(BalancerProcess balancer) {
         ResourceUsage baseline = baselines.get(balancer.number);
         ResourceUsage current = resourceUsage(balancer.pid());
         if (baseline == null || current == null || baseline.pid != current.pid) {
             return;
         }
-        checkGrowth(balancer, "descriptors", baseline.descriptors, current.descriptors, MAX_MORE_DESCRIPTORS);
-        checkGrowth(balancer, "threads", baseline.threads, current.threads, MAX_MORE_THREADS);
-        checkGrowth(balancer, "KB resident", baseline.residentKb, current.residentKb, MAX_MORE_MEMORY_KB);
+        checkGrowth(balancer, "descriptors", baseline.descriptors, current.descriptors, MAX_DESCRIPTOR_GROWTH);
+        checkGrowth(balancer, "threads", baseline.threads, current.threads, MAX_THREAD_GROWTH);
+        checkGrowth(balancer, "KB resident", baseline.residentKb, current.residentKb, MAX_RESIDENT_GROWTH_KB);
     }
 
-    private void checkGrowth(BalancerProcess balancer, String resource, int baseline, int current, int allowed) {
-        if (current > baseline + allowed) {
+    private void checkGrowth(BalancerProcess balancer, String resource, int baseline, int current, int maxGrowth) {
+        if (current > baseline + maxGrowth) {
             findings.add("n" + balancer.number + " holds " + current + " " + resource + ", " + baseline
-                    + " before the troubles");
+                    + " before the disturbances");
         }
     }
 
-    /** The usage of a process, or null if it has ended. */
+    /** Returns the resource usage of a process, or null if the process has ended. */
     private static ResourceUsage resourceUsage(long pid) {
         Path proc = Path.of("/proc", Long.toString(pid));
         try (Stream<Path> descriptors = Files.list(proc.resolve("fd"));
@@ -115,7 +117,7 @@
                 }
             });
         } catch (IOException e) {
-            findings.add("n" + balancer.number + " does not tell its status: " + e);
+            findings.add("n" + balancer.number + " did not report its status: " + e);
         }
     }
 
--- a/lab/src/main/java/gorsestack/lab/soak/Schedule.java
+++ b/lab/src/main/java/gorsestack/lab/soak/Schedule.java
@@ -4,20 +4,25 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** What one seed of the soak plays: a fleet, and two or three disturbances that overlap. A seed always has the same schedule. */
+/**
+ * The schedule of one seed of the soak: a fleet, and two or three disturbances that overlap. A seed always has the same schedule.
+ * Immutable.
+ */
 public record Schedule(long seed, int balancers, double recoverySeconds, List<Disturbance> disturbances) {
     /**
-     * The seconds after the last disturbance: enough for late notifications, for slow starts, and for ten seconds in which service has
-     * to be full.
+     * Time after the last disturbance, in seconds. It is enough for late notifications, for slow starts, and for ten seconds in which
+     * service has to be full.
      */
     public static final double RECOVERY_SECONDS = 26;
 
-    private static final double FIRST_AT = 4;
-    /** The longest time between the begins of disturbances, short enough that they overlap. */
+    /** Earliest begin of a disturbance, in seconds. */
+    private static final double MIN_START_TIME = 4;
+    /** Maximum time between the begins of two disturbances, in seconds, so that they overlap. */
     private static final double MAX_OFFSET = 3;
 
     private static final int MIN_DISTURBANCES = 2;
     private static final int MAX_DISTURBANCES = 3;
+    /** Calls per second of each balancer. */
     private static final double CALLS_PER_BALANCER = 6;
 
     /** Draws the schedule of a seed. */
@@ -30,25 +35,25 @@
             int kind = random.nextInt(Disturbance.kinds());
             if (!drawnKinds.contains(kind)) {
                 drawnKinds.add(kind);
-                disturbances.add(Disturbance.draw(kind, random, FIRST_AT + MAX_OFFSET * random.nextDouble()));
+                disturbances.add(Disturbance.draw(kind, random, MIN_START_TIME + MAX_OFFSET * random.nextDouble()));
             }
         }
         return new Schedule(seed, balancers, recoverySeconds, disturbances);
     }
 
-    /** The same schedule without one of its disturbances. */
+    /** Returns the same schedule without one of its disturbances. */
     public Schedule without(int disturbance) {
         List<Disturbance> remaining = new ArrayList<>(disturbances);
         remaining.remove(disturbance);
         return new Schedule(seed, balancers, recoverySeconds, remaining);
     }
 
-    /** The names of all disturbances. */
+    /** Returns the names of all disturbances. */
     public String names() {
         return String.join(" + ", disturbances.stream().map(Disturbance::name).toList());
     }
 
-    /** The schedule as the text of a scenario file. */
+    /** Returns the schedule as the text of a scenario file. */
     public String scenario() {
         StringBuilder text = new StringBuilder();
         text.append("name = \"soak-")
@@ -57,7 +62,7 @@
                 .append(names())
                 .append("\"\n");
         text.append("seconds = ")
-                .append(FIRST_AT + MAX_OFFSET + Disturbance.MAX_DURATION + recoverySeconds)
+                .append(MIN_START_TIME + MAX_OFFSET + Disturbance.MAX_DURATION + recoverySeconds)
                 .append("\nlead = 2\nsettle = 5\nzones = [\"a\", \"b\"]\n");
         text.append("[fleet]\nbalancers = ")
                 .append(balancers)
--- a/lab/src/main/java/gorsestack/lab/soak/Soak.java
+++ b/lab/src/main/java/gorsestack/lab/soak/Soak.java
@@ -15,11 +15,18 @@
 import java.util.List;
 
 /**
- * Plays random schedules of overlapping disturbances against real balancer processes. A schedule that fails is shrunk by leaving out
- * disturbances for as long as it still fails.
+ * Runs random schedules of overlapping disturbances against real balancer processes, for the soak command. A schedule that fails is shrunk
+ * by removing disturbances as long as it still fails. All runs take place on the calling thread, one after the other.
  */
 public final class Soak {
-    /** What to play: the root of the repository, the command that starts a balancer in it, and the folder for the runs. */
+    /**
+     * The settings of a soak.
+     *
+     * @param root root of the repository
+     * @param command command that starts a balancer in the root
+     * @param output folder for the runs
+     * @param shrink whether schedules that fail are shrunk
+     */
     public record Plan(
             Path root,
             String command,
@@ -30,7 +37,7 @@
             boolean shrink,
             PrintStream progress) {}
 
-    /** How a schedule ended; an inconclusive run had the verdict VOID. */
+    /** The result of a schedule. It is inconclusive if the run has the verdict VOID. */
     public record Outcome(
             Schedule schedule, boolean failed, boolean inconclusive, List<String> findings, Path folder) {}
 
@@ -39,16 +46,16 @@
     private final Plan plan;
     private final Shim shim;
 
-    /** Prepares a soak; compiles the shim if there is a C compiler. */
+    /** Prepares a soak, and compiles the shim if there is a C compiler. */
     public Soak(Plan plan) throws IOException, InterruptedException {
         this.plan = plan;
         shim = Shim.build(plan.output.resolve("shim"));
         if (shim == null) {
-            plan.progress.println("no C compiler: wall clocks and calls of the system are left alone");
+            plan.progress.println("no C compiler: no faults of wall clocks and system calls are injected");
         }
     }
 
-    /** Plays the schedule of a seed, and shrinks it if it fails; the outcome is that of the smallest schedule that failed. */
+    /** Runs the schedule of a seed, and shrinks the schedule if it fails. Returns the outcome of the smallest schedule that has failed. */
     public Outcome play(long seed) throws IOException, InterruptedException, InvalidScenarioException {
         Outcome outcome = play(Schedule.of(seed, plan.balancers, plan.recoverySeconds), "");
         return outcome.failed && plan.shrink ? shrink(outcome) : outcome;
--- a/lab/src/main/java/gorsestack/lab/soak/package-info.java
+++ b/lab/src/main/java/gorsestack/lab/soak/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Runs of random, overlapping disturbances, with additional checks of the processes and with shrinking of schedules that fail.
- */
+/** The soak: runs with random, overlapping disturbances, additional checks of the processes, and shrinking of schedules that fail. */
 package gorsestack.lab.soak;
--- a/lab/src/main/resources/shim/faults.c
+++ b/lab/src/main/resources/shim/faults.c
@@ -1,6 +1,7 @@
 /*
  * A preloaded library that injects faults of the operating system into one process: steps of the wall clock, and system calls that fail or
- * are short. A control file, which is mapped into the process and written by the lab, says which calls; see Shim.java for its layout.
+ * transfer only a part of the bytes. The control file says which calls fail. It is mapped into the process and written by the lab; see
+ * Shim.java for its layout.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -26,6 +27,7 @@
 
 static struct control *control;
 
+/* Maps the control file, which lies next to the log of the process. Without one, no faults are injected. */
 __attribute__((constructor)) static void map_control(void) {
     const char *log = getenv("LOG");
     char path[4096];
@@ -38,12 +40,13 @@
     if (fd < 0) {
         return;
     }
-    void *at = mmap(NULL, 4096, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    void *mapped = mmap(NULL, 4096, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     close(fd);
-    control = at == MAP_FAILED ? NULL : at;
+    control = mapped == MAP_FAILED ? NULL : mapped;
 }
 
-static int drawn(enum call call) {
+/* Decides at random, with an xorshift generator per thread, whether a call fails. Returns its error, or NONE. */
+static int draw_error(enum call call) {
     static __thread uint64_t state;
     if (control == NULL || control->faults[call].permille == 0) {
         return NONE;
@@ -57,33 +60,35 @@
     return (int32_t) (state % 1000) < control->faults[call].permille ? control->faults[call].error : NONE;
 }
 
+/* Looks up the function of the C library that the library replaces. */
 #define REAL(type, name, ...) \
     static type (*real)(__VA_ARGS__); \
     if (real == NULL) { \
         real = (type (*)(__VA_ARGS__)) dlsym(RTLD_NEXT, name); \
     }
 
+/* Returns from the replaced function with an error if the call is to fail. */
 #define FAIL(call) \
     do { \
-        int error_ = drawn(call); \
+        int error_ = draw_error(call); \
         if (error_ > 0) { \
             errno = error_; \
             return -1; \
         } \
     } while (0)
 
-static int is(int fd, mode_t type) {
-    struct stat about;
-    return fstat(fd, &about) == 0 && (about.st_mode & S_IFMT) == type;
+static int has_type(int fd, mode_t type) {
+    struct stat status;
+    return fstat(fd, &status) == 0 && (status.st_mode & S_IFMT) == type;
 }
 
 int clock_gettime(clockid_t clock, struct timespec *to) {
     REAL(int, "clock_gettime", clockid_t, struct timespec *)
     int result = real(clock, to);
     if (result == 0 && control != NULL && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-        int64_t all = (int64_t) to->tv_sec * 1000000000LL + to->tv_nsec + control->clock_offset_ns;
-        to->tv_sec = all / 1000000000LL;
-        to->tv_nsec = all % 1000000000LL;
+        int64_t nanos = (int64_t) to->tv_sec * 1000000000LL + to->tv_nsec + control->clock_offset_ns;
+        to->tv_sec = nanos / 1000000000LL;
+        to->tv_nsec = nanos % 1000000000LL;
     }
     return result;
 }
@@ -125,8 +130,8 @@
 
 ssize_t read(int fd, void *to, size_t count) {
     REAL(ssize_t, "read", int, void *, size_t)
-    if (control != NULL && control->faults[READ].permille > 0 && is(fd, S_IFSOCK)) {
-        int error = drawn(READ);
+    if (control != NULL && control->faults[READ].permille > 0 && has_type(fd, S_IFSOCK)) {
+        int error = draw_error(READ);
         if (error > 0) {
             errno = error;
             return -1;
@@ -140,9 +145,9 @@
 
 ssize_t write(int fd, const void *from, size_t count) {
     REAL(ssize_t, "write", int, const void *, size_t)
-    int any = control != NULL && (control->faults[WRITE].permille > 0 || control->faults[FILE_WRITE].permille > 0);
-    if (any && fd > 2) {
-        int error = is(fd, S_IFSOCK) ? drawn(WRITE) : is(fd, S_IFREG) ? drawn(FILE_WRITE) : NONE;
+    int has_faults = control != NULL && (control->faults[WRITE].permille > 0 || control->faults[FILE_WRITE].permille > 0);
+    if (has_faults && fd > 2) {
+        int error = has_type(fd, S_IFSOCK) ? draw_error(WRITE) : has_type(fd, S_IFREG) ? draw_error(FILE_WRITE) : NONE;
         if (error > 0) {
             errno = error;
             return -1;
@@ -158,10 +163,10 @@
     return real(fd, from, count);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     REAL(int, "epoll_wait", int, struct epoll_event *, int, int)
     FAIL(EPOLL);
-    return real(fd, events, most, timeout);
+    return real(fd, events, max_events, timeout);
 }
 
 int fsync(int fd) {
