--- a/balancer/src/test/java/gorsestack/fleet/ClusterSimulation.java
+++ b/balancer/src/test/java/gorsestack/fleet/ClusterSimulation.java
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Returns the number of the member that owns the lease and is neither paused nor stopped, or -1. */
+    /** Returns the number of the member that owns the lease and is not paused, or -1 if there is none. */
     private int currentOwner() {
         for (Node node : nodes) {
             if (node.running && !node.paused && node.leaseManager.mayAct(node.clock())) {
@@ -300,9 +300,10 @@
             guard = createGuard();
         }
 
-        void receive(Effect e) {
-            FencingTokenGuard.Verdict verdict =
-                    bug == Bug.NO_FENCING ? FencingTokenGuard.Verdict.ACCEPTED : guard.check(e.epoch, e.number);
+        void receive(Effect effect) {
+            FencingTokenGuard.Verdict verdict = bug == Bug.NO_FENCING
+                    ? FencingTokenGuard.Verdict.ACCEPTED
+                    : guard.check(effect.epoch, effect.number);
             if (verdict == FencingTokenGuard.Verdict.STALE) {
                 rejected++;
             }
@@ -310,18 +311,18 @@
                 return;
             }
             effects++;
-            if (e.epoch < lastEpoch) {
-                reportViolation("an effect of epoch " + e.epoch + " by " + e.owner + " after one of " + lastEpoch
-                        + " by " + lastOwner);
+            if (effect.epoch < lastEpoch) {
+                reportViolation("an effect of epoch " + effect.epoch + " by " + effect.owner + " after one of "
+                        + lastEpoch + " by " + lastOwner);
             }
-            if (e.epoch == lastEpoch && lastOwner != null && !lastOwner.equals(e.owner)) {
-                reportViolation("effects of two owners under epoch " + e.epoch);
+            if (effect.epoch == lastEpoch && lastOwner != null && !lastOwner.equals(effect.owner)) {
+                reportViolation("effects of two owners under epoch " + effect.epoch);
             }
-            if (!executed.add(e)) {
-                reportViolation("effect executed twice: " + e);
+            if (!executed.add(effect)) {
+                reportViolation("effect executed twice: " + effect);
             }
-            lastOwner = e.owner;
-            lastEpoch = e.epoch;
+            lastOwner = effect.owner;
+            lastEpoch = effect.epoch;
         }
     }
 
@@ -429,10 +430,10 @@
          */
         private void act() {
             if (leaseManager.mayAct(clock())) {
-                Effect e = new Effect(self, leaseManager.epoch(), ++lastEffect);
+                Effect effect = new Effect(self, leaseManager.epoch(), ++lastEffect);
                 for (Receiver receiver : receivers) {
                     long delay = random.nextInt(10) == 0 ? random.nextInt(9_000) : random.nextInt(40);
-                    scheduleAction(delay * MS, () -> receiver.receive(e));
+                    scheduleAction(delay * MS, () -> receiver.receive(effect));
                 }
             }
             scheduleOnMember(40 * MS, this::act);
--- a/balancer/src/test/java/gorsestack/fleet/LeaseModel.java
+++ b/balancer/src/test/java/gorsestack/fleet/LeaseModel.java
@@ -160,49 +160,49 @@
     }
 
     private void apply(int i) {
-        LeaseCommand c = log.get(appliedCommands[i]);
+        LeaseCommand command = log.get(appliedCommands[i]);
         LeaseTable before = new LeaseTable();
         boolean changed = false;
         for (int n = 0; n <= appliedCommands[i]; n++) {
             changed = before.apply(log.get(n));
         }
         appliedCommands[i]++;
-        managers[i].onApplied(clock(i), c, changed, before.entry("d"));
+        managers[i].onApplied(clock(i), command, changed, before.entry("d"));
     }
 
-    private void commit(int p) {
-        LeaseCommand c = pendingProposals.get(p);
-        log.add(c);
-        if (leases.apply(c) && c instanceof LeaseCommand.Acquire) {
-            LeaseTable.Entry e = leases.entry("d");
-            LeaseOwner before = ownersByEpoch.put(e.epoch(), e.owner());
-            if (before != null && !before.equals(e.owner())) {
-                reportViolation("epoch " + e.epoch() + " is owned by " + before + " and by " + e.owner()
+    private void commit(int proposal) {
+        LeaseCommand command = pendingProposals.get(proposal);
+        log.add(command);
+        if (leases.apply(command) && command instanceof LeaseCommand.Acquire) {
+            LeaseTable.Entry entry = leases.entry("d");
+            LeaseOwner before = ownersByEpoch.put(entry.epoch(), entry.owner());
+            if (before != null && !before.equals(entry.owner())) {
+                reportViolation("epoch " + entry.epoch() + " is owned by " + before + " and by " + entry.owner()
                         + ", expected one owner");
             }
         }
     }
 
-    private void deliver(int f) {
-        Effect e = effectsInFlight.get(f);
+    private void deliver(int index) {
+        Effect effect = effectsInFlight.get(index);
         FencingTokenGuard.Verdict verdict =
-                bug == Bug.NO_FENCING ? FencingTokenGuard.Verdict.ACCEPTED : guard.check(e.epoch, e.number);
+                bug == Bug.NO_FENCING ? FencingTokenGuard.Verdict.ACCEPTED : guard.check(effect.epoch, effect.number);
         if (verdict != FencingTokenGuard.Verdict.ACCEPTED) {
             return;
         }
-        LeaseOwner owner = new LeaseOwner(e.member, e.incarnation);
-        if (e.epoch < lastEpoch) {
-            reportViolation("an effect of epoch " + e.epoch + " by " + owner + " after one of " + lastEpoch + " by "
-                    + lastOwner);
+        LeaseOwner owner = new LeaseOwner(effect.member, effect.incarnation);
+        if (effect.epoch < lastEpoch) {
+            reportViolation("an effect of epoch " + effect.epoch + " by " + owner + " after one of " + lastEpoch
+                    + " by " + lastOwner);
         }
-        if (e.epoch == lastEpoch && lastOwner != null && !lastOwner.equals(owner)) {
-            reportViolation("effects of two owners under epoch " + e.epoch);
+        if (effect.epoch == lastEpoch && lastOwner != null && !lastOwner.equals(owner)) {
+            reportViolation("effects of two owners under epoch " + effect.epoch);
         }
-        if (!executed.add(e)) {
-            reportViolation("effect executed twice: " + e);
+        if (!executed.add(effect)) {
+            reportViolation("effect executed twice: " + effect);
         }
         lastOwner = owner;
-        lastEpoch = e.epoch;
+        lastEpoch = effect.epoch;
     }
 
     private void checkSingleOwner() {
@@ -220,59 +220,60 @@
     /** Returns all steps that are possible in this state; each is applied to a copy of it. */
     private List<Step> steps() {
         List<Step> steps = new ArrayList<>();
-        steps.add(new Step("time passes", w -> w.time++));
+        steps.add(new Step("time passes", model -> model.time++));
         for (int p = 0; p < pendingProposals.size(); p++) {
             int n = p;
-            steps.add(new Step("committed: " + pendingProposals.get(p), w -> {
-                w.commit(n);
-                w.pendingProposals.remove(n);
+            steps.add(new Step("committed: " + pendingProposals.get(p), model -> {
+                model.commit(n);
+                model.pendingProposals.remove(n);
             }));
             if (log.size() < 4) {
                 steps.add(new Step(
-                        "committed, and may be committed again: " + pendingProposals.get(p), w -> w.commit(n)));
+                        "committed, and may be committed again: " + pendingProposals.get(p), model -> model.commit(n)));
             }
-            steps.add(new Step("lost: " + pendingProposals.get(p), w -> w.pendingProposals.remove(n)));
+            steps.add(new Step("lost: " + pendingProposals.get(p), model -> model.pendingProposals.remove(n)));
         }
         for (int f = 0; f < effectsInFlight.size(); f++) {
             int n = f;
-            steps.add(new Step("arrives: " + effectsInFlight.get(f), w -> {
-                w.deliver(n);
-                w.effectsInFlight.remove(n);
+            steps.add(new Step("arrives: " + effectsInFlight.get(f), model -> {
+                model.deliver(n);
+                model.effectsInFlight.remove(n);
             }));
-            steps.add(new Step("arrives, and may arrive again: " + effectsInFlight.get(f), w -> w.deliver(n)));
+            steps.add(new Step("arrives, and may arrive again: " + effectsInFlight.get(f), model -> model.deliver(n)));
         }
         for (int i = 0; i < MEMBERS; i++) {
             int n = i;
-            steps.add(new Step("member " + i + " ticks", w -> w.managers[n].tick(w.clock(n))));
+            steps.add(new Step("member " + i + " ticks", model -> model.managers[n].tick(model.clock(n))));
             if (appliedCommands[i] < log.size()) {
-                steps.add(new Step("member " + i + " applies the next command", w -> w.apply(n)));
+                steps.add(new Step("member " + i + " applies the next command", model -> model.apply(n)));
             }
             if (mayAct(i) && effectsInFlight.size() < MAX_EFFECTS_IN_FLIGHT) {
                 steps.add(new Step(
                         "member " + i + " sends an effect under epoch " + managers[i].epoch(),
-                        w -> w.effectsInFlight.add(
-                                new Effect(n, w.incarnation[n], w.managers[n].epoch(), ++w.lastEffects[n]))));
+                        model -> model.effectsInFlight.add(new Effect(
+                                n, model.incarnation[n], model.managers[n].epoch(), ++model.lastEffects[n]))));
             }
             if (restarts < 2 && managers[i].epoch() > 0) {
-                steps.add(new Step("member " + i + " restarts", w -> w.restart(n)));
+                steps.add(new Step("member " + i + " restarts", model -> model.restart(n)));
             }
             if (bug == Bug.WALL_CLOCK && clockSetBack[i] == 0 && managers[i].epoch() > 0) {
-                steps.add(new Step("member " + i + "'s clock is set back", w -> w.clockSetBack[n] = LEASE_DURATION));
+                steps.add(new Step(
+                        "member " + i + "'s clock is set back", model -> model.clockSetBack[n] = LEASE_DURATION));
             }
         }
         if (restarts < 2 && guard.highestEpoch() > 0) {
-            steps.add(new Step("the receiver restarts", w -> {
-                w.restarts++;
-                w.guard = w.createGuard(w.persisted[0], w.persisted[1]);
+            steps.add(new Step("the receiver restarts", model -> {
+                model.restarts++;
+                model.guard = model.createGuard(model.persisted[0], model.persisted[1]);
             }));
         }
         if (bug == Bug.STATE_LOSS && !log.isEmpty()) {
-            steps.add(new Step("a majority loses the last committed command", w -> {
-                w.log.remove(w.log.size() - 1);
-                w.leases = new LeaseTable();
-                w.log.forEach(w.leases::apply);
+            steps.add(new Step("a majority loses the last committed command", model -> {
+                model.log.remove(model.log.size() - 1);
+                model.leases = new LeaseTable();
+                model.log.forEach(model.leases::apply);
                 for (int i = 0; i < MEMBERS; i++) {
-                    w.appliedCommands[i] = Math.min(w.appliedCommands[i], w.log.size());
+                    model.appliedCommands[i] = Math.min(model.appliedCommands[i], model.log.size());
                 }
             }));
         }
--- a/lab/src/main/java/gorsestack/lab/scenario/FaultKinds.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/FaultKinds.java
@@ -33,7 +33,7 @@
             "discovery_late",
             "discovery_half_line",
             "discovery_moves");
-    /** Unusual load from clients. */
+    /** Bursts of calls, and clients that misbehave. */
     static final Set<String> LOAD = Set.of("burst", "rude");
     /** Faults of the operating system under a balancer, which need the preloaded shim library. */
     static final Set<String> SYSTEM = Set.of("clock", "calls");
--- a/lab/src/main/java/gorsestack/lab/soak/Disturbance.java
+++ b/lab/src/main/java/gorsestack/lab/soak/Disturbance.java
@@ -80,7 +80,7 @@
                     "to = \"upstreams\"\nsize = 40"),
             draw -> draw.once("links reset", "reset", "front", "to = \"upstreams\""),
             draw -> draw.lasting("burst", "burst", "", draw.between(1, 4), "size = 3"),
-            draw -> draw.lasting("rude clients", "rude", "front", MAX_DURATION, "size = 30"),
+            draw -> draw.lasting("misbehaving clients", "rude", "front", MAX_DURATION, "size = 30"),
             draw -> draw.once(
                     "wall clocks of some processes set",
                     "clock",
--- a/lab/src/main/java/gorsestack/lab/soak/Soak.java
+++ b/lab/src/main/java/gorsestack/lab/soak/Soak.java
@@ -25,6 +25,7 @@
      * @param root root of the repository
      * @param command command that starts a balancer in the root
      * @param output folder for the runs
+     * @param recoverySeconds time after the last disturbance of a run
      * @param shrink whether schedules that fail are shrunk
      */
     public record Plan(
@@ -55,7 +56,10 @@
         }
     }
 
-    /** Runs the schedule of a seed, and shrinks the schedule if it fails. Returns the outcome of the smallest schedule that has failed. */
+    /**
+     * Runs the schedule of a seed, and shrinks the schedule if it fails. Returns the outcome of the smallest schedule that has failed, or
+     * of the whole schedule if it passes.
+     */
     public Outcome play(long seed) throws IOException, InterruptedException, InvalidScenarioException {
         Outcome outcome = play(Schedule.of(seed, plan.balancers, plan.recoverySeconds), "");
         return outcome.failed && plan.shrink ? shrink(outcome) : outcome;
