--- a/lab/src/main/java/gorsestack/lab/scenario/Period.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/Period.java
@@ -8,9 +8,9 @@
 public enum Period {
     /** The whole run. */
     ALL,
-    /** The time from the start of the run to the first measured fault. */
+    /** The time until the first measured fault. */
     BEFORE,
-    /** The 30 seconds after the begin of the first measured fault. */
+    /** The 30 seconds after the start of the first measured fault. */
     AFTER,
     /** The last 10 seconds of the run. */
     END;
--- a/lab/src/main/java/gorsestack/lab/scenario/Scenario.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/Scenario.java
@@ -4,8 +4,8 @@
 
 /**
  * The definition of a run: the fleet, the parties around it, the faults to inject, and the invariants to check. {@link ScenarioReader}
- * creates it from a scenario file, whose keys docs/lab.md describes; the whole lab reads it. Times are in seconds unless the name of a
- * component says otherwise. Immutable.
+ * creates it from a scenario file, whose keys docs/lab.md describes; the other packages of the lab read it. Times are in seconds unless
+ * the name of a component says otherwise. Immutable.
  */
 public record Scenario(
         String name,
--- a/lab/src/main/java/gorsestack/lab/scenario/Section.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/Section.java
@@ -180,7 +180,7 @@
         return sections;
     }
 
-    /** Throws an error if the table has a key that was not read. */
+    /** Throws an exception if the table has a key that was not read. */
     void rejectUnknownKeys() throws InvalidScenarioException {
         if (table == null) {
             return;
--- a/lab/src/main/java/gorsestack/lab/soak/Disturbance.java
+++ b/lab/src/main/java/gorsestack/lab/soak/Disturbance.java
@@ -111,7 +111,7 @@
         return KINDS.get(kind).apply(new Draw(random, startTime));
     }
 
-    /** The random choices for one disturbance, and its begin in seconds. */
+    /** The random choices for one disturbance, and its start in seconds. */
     private record Draw(SplittableRandom random, double startTime) {
         double between(double min, double max) {
             return min + (max - min) * random.nextDouble();
--- a/lab/src/main/java/gorsestack/lab/soak/Schedule.java
+++ b/lab/src/main/java/gorsestack/lab/soak/Schedule.java
@@ -15,9 +15,9 @@
      */
     public static final double RECOVERY_SECONDS = 26;
 
-    /** Earliest begin of a disturbance, in seconds. */
+    /** Earliest start of a disturbance, in seconds. */
     private static final double MIN_START_TIME = 4;
-    /** Maximum time between the begins of two disturbances, in seconds, so that they overlap. */
+    /** Maximum time between the starts of two disturbances, in seconds, so that they overlap. */
     private static final double MAX_OFFSET = 3;
 
     private static final int MIN_DISTURBANCES = 2;
