--- a/lab/src/main/java/gorsestack/lab/verify/Call.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Call.java
@@ -1,6 +1,15 @@
 package gorsestack.lab.verify;
 
-/** A call of a client, with all its tries: how it ended, when, and its value. */
+/**
+ * A client's call, including all its tries. {@link Calls} builds it from the records of a run for the metrics and the charts.
+ *
+ * @param number the number of the call within the run
+ * @param intended when the client intended to make the call, in nanoseconds from the start of the measured load
+ * @param ended when the final try ended, in the same unit
+ * @param outcome how the final try ended
+ * @param value the value that was earned: less than possible for a late response, and 0 if the call was not served
+ * @param possibleValue the value of the call if it is served in time
+ */
 public record Call(
         int number,
         String product,
@@ -12,13 +21,15 @@
         double value,
         double possibleValue) {
 
-    /** How the last try of a call ended. */
+    /** The outcome of the final try of a call. */
     public enum Outcome {
-        /** With the correct response, in time. */
+        /** The client received the correct response before the deadline of the call. */
         SERVED("served"),
+        /** The balancer rejected the call with a status that invites a retry. */
         RATE_LIMITED("rate-limited"),
+        /** The call ended in any other way. */
         ERRORED("errored"),
-        /** The client gave up; such a call counts neither for nor against the fleet. */
+        /** The client gave up and disconnected; such a call counts neither as served nor as failed. */
         ABANDONED("left");
 
         private final String label;
@@ -27,23 +38,23 @@
             this.label = label;
         }
 
-        /** The outcome in words, for reports. */
+        /** Returns the name of the outcome that reports show. */
         public String label() {
             return label;
         }
     }
 
-    /** Whether the call got the correct response in time. */
+    /** Returns whether the client received the correct response in time. */
     public boolean served() {
         return outcome == Outcome.SERVED;
     }
 
-    /** Whether the call counts: its client has waited for the response. */
+    /** Returns whether the call counts for served fractions, which requires that its client waited for the response. */
     public boolean counts() {
         return outcome != Outcome.ABANDONED;
     }
 
-    /** When the client intended to make the call, in whole seconds. */
+    /** Returns the second of the run in which the client intended to make the call. */
     public long second() {
         return intended / RunMetrics.SECOND;
     }
--- a/lab/src/main/java/gorsestack/lab/verify/Calls.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Calls.java
@@ -13,16 +13,17 @@
 import java.util.function.Function;
 import org.HdrHistogram.Histogram;
 
-/** The calls of clients, put together from their tries, and what can be computed from a list of them. */
+/** Builds calls from the recorded tries of clients, and computes fractions and latencies of a list of calls. */
 public final class Calls {
-    /** The highest latency that a histogram records, in microseconds. */
+    /** The highest latency that a histogram can record, in microseconds; higher latencies are recorded as this one. */
     private static final long MAX_LATENCY_US = 600_000_000L;
 
+    /** The number of significant decimal digits of recorded latencies. */
     private static final int LATENCY_DIGITS = 3;
 
     private Calls() {}
 
-    /** All calls of the measured load by their intended time; those of the warm-up are left out. */
+    /** Returns all calls of the measured load in the order of their intended times, without those of the warm-up. */
     static List<Call> of(Scenario scenario, Records records) {
         Map<Integer, Long> firstIntended = new HashMap<>();
         records.clientRequests.forEach(request -> firstIntended.merge(request.call(), request.intended(), Math::min));
@@ -66,13 +67,13 @@
         return finalTry.outcome().equals("left") ? Outcome.ABANDONED : Outcome.ERRORED;
     }
 
-    /** The fraction that was served of the calls that count; 1 if there are none. */
+    /** Returns the served fraction of the calls that count, or 1 if there are none. */
     public static double servedFraction(List<Call> calls) {
         long counted = calls.stream().filter(Call::counts).count();
         return counted == 0 ? 1 : calls.stream().filter(Call::served).count() / (double) counted;
     }
 
-    /** The lowest served fraction among the groups of a property. */
+    /** Groups calls by a property and returns the lowest served fraction of any group, or 1 if there are no calls. */
     static double worstServedFraction(List<Call> calls, Function<Call, Object> property) {
         Map<Object, List<Call>> groups = new HashMap<>();
         calls.forEach(call -> groups.computeIfAbsent(property.apply(call), key -> new ArrayList<>())
@@ -80,14 +81,14 @@
         return groups.values().stream().mapToDouble(Calls::servedFraction).min().orElse(1);
     }
 
-    /** The fraction of all calls that ended in a way; 0 if there are none. */
+    /** Returns the fraction of all calls that ended with a certain outcome, or 0 if there are no calls. */
     static double fraction(List<Call> calls, Outcome outcome) {
         return calls.isEmpty()
                 ? 0
                 : calls.stream().filter(call -> call.outcome() == outcome).count() / (double) calls.size();
     }
 
-    /** The value earned over the value possible, of the calls that count; 1 if there are none. */
+    /** Returns the ratio of the earned value to the possible value of the calls that count, or 1 if there are none. */
     static double valueFraction(List<Call> calls) {
         List<Call> counted = calls.stream().filter(Call::counts).toList();
         double possible = 0;
@@ -99,7 +100,7 @@
         return possible == 0 ? 1 : earned / possible;
     }
 
-    /** A percentile of the latency of served calls in milliseconds, over all their tries. */
+    /** Returns a percentile of the latency of served calls, in milliseconds from the intended time to the end of the final try. */
     public static double latencyPercentileMs(List<Call> calls, double percentile) {
         Histogram histogram = new Histogram(MAX_LATENCY_US, LATENCY_DIGITS);
         calls.stream()
@@ -109,7 +110,7 @@
         return histogram.getTotalCount() == 0 ? 0 : histogram.getValueAtPercentile(percentile) / 1e3;
     }
 
-    /** The calls of each second in which there were any. */
+    /** Groups calls by the second of their intended time; seconds without calls are missing from the result. */
     public static Map<Long, List<Call>> bySecond(List<Call> calls) {
         Map<Long, List<Call>> seconds = new TreeMap<>();
         calls.forEach(call -> seconds.computeIfAbsent(call.second(), second -> new ArrayList<>())
--- a/lab/src/main/java/gorsestack/lab/verify/DrainRule.java
+++ b/lab/src/main/java/gorsestack/lab/verify/DrainRule.java
@@ -10,8 +10,9 @@
 import java.util.function.Consumer;
 
 /**
- * Rule "drain": no attempt at an upstream that is out of service, past a grace period from when the balancer was notified of it. A balancer
- * that was not notified is deemed to know after a fixed deadline, since it has to poll then.
+ * Checks the rule "drain": a balancer sends no attempt to an upstream that is out of service, once a grace period has passed since the
+ * balancer was notified. A balancer that received no notification is deemed notified after a fixed deadline, because it has to poll by
+ * then. {@link Verifier} uses this class on the thread that verifies.
  */
 final class DrainRule {
     private static final String IN_SERVICE = "in_service";
@@ -20,15 +21,18 @@
 
     private final Evidence evidence;
     private final Consumer<Violation> violations;
+    /** The time after the notification during which attempts are permitted, in nanoseconds. */
     private final long grace;
+    /** The time after which a balancer is deemed notified of a change, in nanoseconds. */
     private final long notificationDeadline;
+
     private final Map<Integer, List<EndpointChange>> changes = new HashMap<>();
     private final Map<BalancerAndUpstream, List<StatusDelivery>> deliveries = new HashMap<>();
 
     DrainRule(Evidence evidence, Consumer<Violation> violations) {
         this.evidence = evidence;
         this.violations = violations;
-        grace = (long) (evidence.scenario.rules().drainGrace() * 1e9) + Evidence.TOLERANCE;
+        grace = (long) (evidence.scenario.rules().drainGrace() * 1e9) + Evidence.TOLERANCE_NANOS;
         notificationDeadline = (long) (evidence.scenario.rules().notificationDeadline() * 1e9);
         evidence.records.endpointChanges.forEach(
                 change -> changes.computeIfAbsent(change.upstream(), upstream -> new ArrayList<>())
@@ -39,47 +43,48 @@
                 .add(delivery));
     }
 
+    /** Reports an attempt that was sent too late after the notification, unless a fault of the link may have delayed it. */
     void check(UpstreamAttempt attempt) {
         long outSince = outOfServiceSince(attempt.upstream(), attempt.startedAt());
         if (outSince == ProcessTimelines.NEVER) {
             return;
         }
-        long known = knownAt(attempt, outSince);
-        if (attempt.startedAt() > known + grace && !evidence.attemptLinkFaulted(attempt, known)) {
+        long notifiedAt = notificationTime(attempt, outSince);
+        if (attempt.startedAt() > notifiedAt + grace && !evidence.attemptLinkFaulted(attempt, notifiedAt)) {
             violations.accept(new Violation(
                     Violation.DRAIN,
                     attempt.startedAt(),
                     "n" + attempt.balancer() + " sent " + attempt.id() + " to u" + attempt.upstream() + " "
-                            + (attempt.startedAt() - known) / 1_000_000
-                            + " ms after it was told, or deemed told, that it is out"));
+                            + (attempt.startedAt() - notifiedAt) / 1_000_000
+                            + " ms after it was notified, or deemed notified, that the upstream was out of service"));
         }
     }
 
-    /** When an upstream went out of service, if it is out at a time; NEVER if it is in service. */
-    private long outOfServiceSince(int upstream, long at) {
-        long out = ProcessTimelines.NEVER;
-        long in = ProcessTimelines.NEVER;
+    /** Returns when an upstream that is out of service at a time became so, or NEVER if it is in service at that time. */
+    private long outOfServiceSince(int upstream, long time) {
+        long outAt = ProcessTimelines.NEVER;
+        long inAt = ProcessTimelines.NEVER;
         for (EndpointChange change : changes.getOrDefault(upstream, List.of())) {
-            if (change.at() <= at && change.status().equals(IN_SERVICE)) {
-                in = change.at();
-            } else if (change.at() <= at && out <= in) {
-                out = change.at();
+            if (change.at() <= time && change.status().equals(IN_SERVICE)) {
+                inAt = change.at();
+            } else if (change.at() <= time && outAt <= inAt) {
+                outAt = change.at();
             }
         }
-        return out <= in ? ProcessTimelines.NEVER : out;
+        return outAt <= inAt ? ProcessTimelines.NEVER : outAt;
     }
 
-    /** When the balancer of an attempt knew, or had to know, that the upstream was out of service. */
-    private long knownAt(UpstreamAttempt attempt, long outSince) {
+    /** Returns when the balancer of an attempt was notified, or is deemed notified, that the upstream was out of service. */
+    private long notificationTime(UpstreamAttempt attempt, long outSince) {
         int balancer = attempt.balancer();
-        long started = evidence.processes.lastStart(balancer, attempt.startedAt());
-        long known = Math.max(outSince, started) + notificationDeadline;
+        long processStart = evidence.processes.lastStart(balancer, attempt.startedAt());
+        long notifiedAt = Math.max(outSince, processStart) + notificationDeadline;
         BalancerAndUpstream pair = new BalancerAndUpstream(balancer, attempt.upstream());
         for (StatusDelivery delivery : deliveries.getOrDefault(pair, List.of())) {
-            if (delivery.at() >= outSince && delivery.at() >= started) {
-                known = Math.min(known, delivery.at());
+            if (delivery.at() >= outSince && delivery.at() >= processStart) {
+                notifiedAt = Math.min(notifiedAt, delivery.at());
             }
         }
-        return evidence.processes.processedAt(balancer, known, attempt.startedAt());
+        return evidence.processes.processedAt(balancer, notifiedAt, attempt.startedAt());
     }
 }
--- a/lab/src/main/java/gorsestack/lab/verify/DuplicateRule.java
+++ b/lab/src/main/java/gorsestack/lab/verify/DuplicateRule.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Rule "dup": nothing is executed twice that must not be, whether the balancer or a client retries it. */
+/**
+ * Checks the rule "dup": a request that must not be repeated is executed at most once, whether the balancer or the client retries it.
+ * {@link Verifier} uses this class on the thread that verifies.
+ */
 final class DuplicateRule {
     private final Evidence evidence;
     private final Consumer<Violation> violations;
@@ -16,18 +19,21 @@
         this.violations = violations;
     }
 
-    private void report(long at, String description) {
-        violations.accept(new Violation(Violation.DUPLICATE, at, description));
+    private void report(long violatedAt, String description) {
+        violations.accept(new Violation(Violation.DUPLICATE, violatedAt, description));
     }
 
-    /** Whether an attempt is known, at a time, not to have been executed. */
-    private static boolean provenUnprocessed(UpstreamAttempt attempt, long at) {
+    /** Returns whether the upstream of an attempt had, by a certain time, responded that it did not execute the attempt. */
+    private static boolean provenUnprocessed(UpstreamAttempt attempt, long time) {
         return attempt.outcome().equals("unprocessed")
                 && attempt.respondedAt() != Records.NEVER
-                && attempt.respondedAt() <= at;
+                && attempt.respondedAt() <= time;
     }
 
-    /** A rejection invites the client to retry, so no attempt may have been executed unless a repetition is harmless. */
+    /**
+     * Checks a rejected request. A rejection invites the client to retry, so it is a violation if an attempt may have been executed,
+     * unless a second execution is harmless.
+     */
     void checkRejection(ClientRequest request) {
         Product product = evidence.product(request.product());
         boolean harmless = product.idempotent()
@@ -40,14 +46,14 @@
                 report(
                         request.ended(),
                         "n" + request.balancer() + " called " + request.id() + " (" + request.product()
-                                + ") rate-limited though u" + attempt.upstream() + " may have run it ("
+                                + ") rate-limited though u" + attempt.upstream() + " may have executed it ("
                                 + attempt.outcome() + ")");
                 return;
             }
         }
     }
 
-    /** Checks the attempts of one request, which are in the order of their start. */
+    /** Checks the attempts of one request, ordered by their start. */
     void checkAttempts(List<UpstreamAttempt> attempts) {
         Product product = evidence.product(attempts.get(0).product());
         if (product.idempotent()) {
@@ -63,24 +69,27 @@
         }
     }
 
+    /** Reports an attempt after one that may have been executed, unless the idempotency key prevents a second execution. */
     private void checkRepetition(Product product, UpstreamAttempt earlier, UpstreamAttempt later) {
-        String description = later.id() + " (" + later.product() + ") reached u" + later.upstream() + " from n"
-                + later.balancer() + " though u" + earlier.upstream() + " may have run it (" + earlier.outcome() + ")";
+        String description =
+                later.id() + " (" + later.product() + ") reached u" + later.upstream() + " from n" + later.balancer()
+                        + " though u" + earlier.upstream() + " may have executed it (" + earlier.outcome() + ")";
         if (product.singleShot()) {
             report(later.startedAt(), description);
             return;
         }
         String earlierScope = deduplicationScope(earlier, product);
         String laterScope = deduplicationScope(later, product);
-        long window = (long) (product.repeatWindow() * 1e9) + Evidence.TOLERANCE;
+        long window = (long) (product.repeatWindow() * 1e9) + Evidence.TOLERANCE_NANOS;
         if (!laterScope.equals(earlierScope) || later.startedAt() - earlier.startedAt() > window) {
             report(
                     later.startedAt(),
-                    description + ", " + earlierScope + ", not " + laterScope + " or past the window");
+                    description + ", " + earlierScope + " and not " + laterScope
+                            + ", or after the deduplication window");
         }
     }
 
-    /** The group of upstreams that share the idempotency keys of an attempt's upstream. */
+    /** Returns the group of upstreams that share idempotency keys with the upstream of an attempt. */
     private static String deduplicationScope(UpstreamAttempt attempt, Product product) {
         return switch (product.keyScope()) {
             case "all" -> "all";
--- a/lab/src/main/java/gorsestack/lab/verify/Evidence.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Evidence.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** The records of a run, indexed for the checks of the rules. */
+/** The records of a run, indexed for the rule checks of {@link Verifier}; immutable once built. */
 final class Evidence {
-    /** Tolerance of all time limits, for the delays of sockets. */
-    static final long TOLERANCE = 50_000_000L;
-    /** How long after its end a link fault may still have effects, as delayed bytes are delivered and retransmitted. */
-    static final long LINK_RECOVERY = 5_000_000_000L;
+    /** The tolerance of all time limits in nanoseconds, which covers the delays of sockets. */
+    static final long TOLERANCE_NANOS = 50_000_000L;
+    /** How long a link fault may have effects after its end, in nanoseconds, as delayed bytes are delivered and retransmitted. */
+    static final long LINK_RECOVERY_NANOS = 5_000_000_000L;
 
     final Scenario scenario;
     final Records records;
@@ -37,25 +37,25 @@
         return products.get(name);
     }
 
-    /** The attempts with a request's id, by their start. */
+    /** Returns the attempts for the request with an id, ordered by their start. */
     List<UpstreamAttempt> attempts(String id) {
         return attempts.getOrDefault(id, List.of());
     }
 
-    /** The attempts of all requests, each request's in a list of its own. */
+    /** Returns the attempts of all requests, one list per request. */
     Collection<List<UpstreamAttempt>> attemptsByRequest() {
         return attempts.values();
     }
 
-    /** Whether a fault acted on the link, or had just ended, at some time in between. */
+    /** Returns whether a link was affected by a fault, or was still recovering from one, at any time in an interval. */
     boolean linkFaulted(String link, long from, long until) {
         return records.injectedFaults.stream()
                 .anyMatch(fault -> fault.targets().contains(link)
                         && fault.from() <= until
-                        && fault.until() + LINK_RECOVERY >= from);
+                        && fault.until() + LINK_RECOVERY_NANOS >= from);
     }
 
-    /** Whether the link of an attempt was faulted at some time in between, so that its start was observed late. */
+    /** Returns whether a fault affected the link of an attempt since a time, so that its start may have been observed late. */
     boolean attemptLinkFaulted(UpstreamAttempt attempt, long from) {
         return linkFaulted("n" + attempt.balancer() + ">u" + attempt.upstream(), from, attempt.startedAt());
     }
--- a/lab/src/main/java/gorsestack/lab/verify/PeakMetrics.java
+++ b/lab/src/main/java/gorsestack/lab/verify/PeakMetrics.java
@@ -14,7 +14,7 @@
 import java.util.function.LongPredicate;
 import java.util.stream.Stream;
 
-/** The highest rates of a run, and how they compare with those before the fault. */
+/** Computes the highest rates of a run, and their ratio to the highest rates before the fault, for {@link RunMetrics}. */
 final class PeakMetrics {
     private static final long SECOND = RunMetrics.SECOND;
 
@@ -28,7 +28,7 @@
         this.periods = periods;
     }
 
-    /** The most events within one second, wherever it begins; the times are in order. */
+    /** Returns the largest number of events within any interval of one second; the times must be sorted. */
     static double peak(long[] times, long from, long until) {
         int peak = 0;
         int first = 0;
@@ -48,6 +48,7 @@
         return peak(times, periods.from(period), periods.until(period));
     }
 
+    /** Returns the ratio of the peak after the fault to the peak before it, which counts as at least 1. */
     private double peakOverSteady(long[] times) {
         return peak(times, periods.faultAt(), periods.end()) / Math.max(1, peak(times, 0, periods.faultAt()));
     }
@@ -72,7 +73,7 @@
         return mostOpened(end -> end > periods.faultAt()) / Math.max(1, mostOpened(end -> end <= periods.faultAt()));
     }
 
-    /** The most connections opened in one sampled second; seconds are selected by their end. */
+    /** Returns the largest number of connections opened in a sampled second, among the seconds whose ends match. */
     private double mostOpened(LongPredicate secondEnd) {
         return records.secondSamples.stream()
                 .filter(sample -> secondEnd.test((sample.second() + 1) * SECOND))
@@ -90,8 +91,8 @@
     }
 
     /**
-     * When connections were opened that are not the first of their balancer and upstream since either started; the first one is inevitable
-     * after a restart.
+     * Returns when connections were opened that are not the first one between their balancer and upstream since either started. The first
+     * one is excluded because it is inevitable after a restart.
      */
     private long[] furtherConnectionTimes() {
         Map<Integer, List<Long>> balancerStarts = new HashMap<>();
@@ -120,7 +121,7 @@
                 .toArray();
     }
 
-    /** The most attempts in a second at any one upstream after the fault, over the same before it. */
+    /** Returns the ratio of the highest rate of attempts at a single upstream after the fault to the highest one before it. */
     double attemptsOverSteady() {
         Map<Integer, List<Long>> timesByUpstream = new TreeMap<>();
         records.upstreamAttempts.forEach(attempt -> timesByUpstream
--- a/lab/src/main/java/gorsestack/lab/verify/ProcessTimelines.java
+++ b/lab/src/main/java/gorsestack/lab/verify/ProcessTimelines.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** When the balancers' processes were started, stopped, and down, by the process events of a run. */
+/** The states of the balancer processes over time, derived from the process events of a run; used by {@link Evidence}. */
 final class ProcessTimelines {
-    /** Before or after everything that can have happened in a run. */
+    /** A time in nanoseconds that is after every event of a run and, negated, before every event; sums with it do not overflow. */
     private static final long DISTANT = Long.MAX_VALUE / 4;
 
-    /** The time of an event that has not happened. */
+    /** The time of an event that has not happened; earlier than all other times. */
     static final long NEVER = -DISTANT;
 
     private record Interval(long from, long until) {
@@ -20,7 +20,7 @@
         }
     }
 
-    /** Intervals of one condition, in order; the last one may be open. */
+    /** The intervals during which a process was in one state, in order; the last one may be open. */
     private static final class Intervals {
         private final List<Interval> intervals = new ArrayList<>();
 
@@ -40,14 +40,15 @@
         }
     }
 
-    /** The process of one balancer over time. */
+    /** The states of one balancer's process over time. */
     private static final class Timeline {
+        /** The times at which the process was started. */
         private final List<Long> starts = new ArrayList<>();
-        /** From a kill or crash to the next start. */
+        /** The intervals from a kill or crash to the next start. */
         private final Intervals down = new Intervals();
-        /** From SIGSTOP to SIGCONT. */
+        /** The intervals from SIGSTOP to SIGCONT. */
         private final Intervals stopped = new Intervals();
-        /** From SIGTERM to the next start; connections made then may be closed without a response. */
+        /** The intervals from SIGTERM to the next start, in which new connections may be closed without a response. */
         private final Intervals terminating = new Intervals();
 
         void add(ProcessEvent event) {
@@ -80,32 +81,37 @@
         return timelines.getOrDefault(balancer, EMPTY);
     }
 
-    /** Whether the balancer was down or stopped at some time in between, so that it could not respond. */
+    /** Returns whether a balancer was down or stopped at any time in an interval, so that it could not respond. */
     boolean unavailable(int balancer, long from, long until, long tolerance) {
         return timeline(balancer).down.overlap(from - tolerance, until + tolerance)
                 || stopped(balancer, from - tolerance, until);
     }
 
+    /** Returns whether a balancer was stopped by SIGSTOP at any time in an interval. */
     boolean stopped(int balancer, long from, long until) {
         return timeline(balancer).stopped.overlap(from, until);
     }
 
+    /** Returns whether a balancer was terminating at any time in an interval. */
     boolean terminating(int balancer, long from, long until) {
         return timeline(balancer).terminating.overlap(from, until);
     }
 
-    /** The last start up to a time, or NEVER. */
-    long lastStart(int balancer, long at) {
+    /** Returns the last start of a balancer that is not after a time, or NEVER. */
+    long lastStart(int balancer, long time) {
         return timeline(balancer).starts.stream()
-                .filter(start -> start <= at)
+                .filter(start -> start <= time)
                 .mapToLong(start -> start)
                 .max()
                 .orElse(NEVER);
     }
 
-    /** When a balancer that was stopped meanwhile could process what arrived at a time; that time if it was not stopped. */
-    long processedAt(int balancer, long arrived, long until) {
-        long processed = arrived;
+    /**
+     * Returns when a balancer could process what it received at a time. This is the time itself, or the end of the last SIGSTOP interval
+     * that delayed the processing and began no later than {@code until}.
+     */
+    long processedAt(int balancer, long receivedAt, long until) {
+        long processed = receivedAt;
         for (Interval stop : timeline(balancer).stopped.intervals) {
             if (stop.overlaps(processed, until)) {
                 processed = Math.max(processed, stop.until);
--- a/lab/src/main/java/gorsestack/lab/verify/Records.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Records.java
@@ -20,18 +20,18 @@
 import java.util.Map;
 
 /**
- * What clients, upstreams and discovery observed during a run; the only input of verification, nothing is taken from the balancers
- * themselves. Times are in nanoseconds from the start of the measured load. The names of properties and kinds in files are part of the
- * file format and stay as they are when a class or component is renamed.
+ * The observations of clients, upstreams and discovery during a run. They are the only input of verification; nothing is taken from the
+ * balancers themselves. Times are in nanoseconds from the start of the measured load. The names of properties and kinds in files are part
+ * of the file format and do not change when a class or component is renamed. During a run, only the event loop accesses the records.
  */
 public final class Records {
-    /** The time of something that did not happen. */
+    /** The time of an event that did not happen. */
     public static final long NEVER = Long.MIN_VALUE;
 
     /**
-     * One try of a client's call. The intended time is when the client wanted to send it, whatever kept it from sending; sent is when the
-     * last byte was written, or NEVER. The outcome is an HTTP status, closed, refused, unreachable, timeout or left. The response is correct
-     * if an upstream produced it for this request. Tries of a call are numbered from 0.
+     * One try of a client's call; the tries of a call are numbered from 0. The intended time is when the client was due to send it, even if
+     * sending was delayed; sent is when the last byte was written, or NEVER. The outcome is an HTTP status, closed, refused, unreachable,
+     * timeout or left. The response is correct if an upstream produced it for this request.
      */
     public record ClientRequest(
             String id,
@@ -52,18 +52,21 @@
             String party,
             String tenant) {
 
-        /** Whether the balancer responded with a status. */
+        /** Returns whether the balancer responded with an HTTP status. */
         boolean hasStatus() {
             return outcome.matches("\\d+");
         }
 
-        /** Whether the balancer rejected the request in a way that invites the client to retry it. */
+        /** Returns whether the balancer rejected the request with a status that invites the client to retry. */
         boolean rejected() {
             return outcome.equals("429") || outcome.equals("503");
         }
     }
 
-    /** One attempt at an upstream. It is received with its last byte; the response time is when the response was written, or NEVER. */
+    /**
+     * One attempt, as its upstream observed it. It counts as started with the first byte and as received with the last one;
+     * {@code respondedAt} is when the response was written, or NEVER.
+     */
     public record UpstreamAttempt(
             String id,
             String key,
@@ -79,7 +82,7 @@
             @JsonProperty("ran") boolean executed,
             @JsonProperty("answered") long respondedAt) {
 
-        /** The attempt with its outcome, once that is known. */
+        /** Returns a copy of this attempt that has its outcome. */
         public UpstreamAttempt ended(String endOutcome, boolean wasExecuted, long responseTime) {
             return new UpstreamAttempt(
                     id,
@@ -98,23 +101,23 @@
         }
     }
 
-    /** A change of an upstream's status that discovery has sent to a balancer. */
+    /** The delivery of an upstream's new status from discovery to a balancer. */
     public record StatusDelivery(int balancer, int upstream, String status, long at) {}
 
-    /** A change of an upstream's status, when discovery published it. */
+    /** The publication of an upstream's new status by discovery. */
     public record EndpointChange(int upstream, String status, long at) {}
 
-    /** A request to discovery for the endpoint list, or for a watch of it. */
+    /** A request from a balancer to discovery for the endpoint list or for a watch of it. */
     public record ListCall(int balancer, long at, String outcome) {}
 
     /** A response that a client received in addition to, or instead of, the one to its request. */
     public record ExtraResponse(int balancer, String id, long at) {}
 
-    /** An event of a balancer's process: start, ready, kill, term, stop, cont, exit, crash and the like. */
+    /** An event of a balancer process, for example start, ready, kill, term, stop, cont, exit or crash. */
     public record ProcessEvent(
             int balancer, @JsonProperty("what") String event, long at) {}
 
-    /** A fault that was injected, and the links or parties that it acted on. */
+    /** An injected fault and the links or parties that it affected. */
     public record InjectedFault(
             int fault,
             String label,
@@ -123,7 +126,7 @@
             @JsonProperty("whom") List<String> targets,
             boolean measured) {}
 
-    /** An upstream that was overloaded during its slow start: the work it was offered, and the work it could do in that time. */
+    /** An overload of an upstream during its slow start: the work that it was offered and its capacity, both in milliseconds of work. */
     public record SlowStartOverload(
             int upstream,
             long at,
@@ -133,13 +136,13 @@
     /** A connection that a balancer opened to an upstream. */
     public record ConnectionOpened(int balancer, int upstream, long at) {}
 
-    /** Connections open at all upstreams at the end of a second, those opened in it, and datagrams sent until then. */
+    /** The connections that were open at all upstreams at the end of a second, those opened during it, and all datagrams sent so far. */
     public record SecondSample(int second, int connections, int opened, long datagrams) {}
 
-    /** A client closed its connection while its request was in progress. */
+    /** The disconnect of a client while its request was in progress. */
     public record ClientDeparture(String id, int balancer, long at) {}
 
-    /** A misbehaving client did not get the response, or the close, that it is entitled to. */
+    /** A case in which a misbehaving client got neither the response nor the close that a balancer owes it. */
     public record MisbehavingClientViolation(
             String id,
             int balancer,
@@ -147,7 +150,7 @@
             long until,
             @JsonProperty("what") String description) {}
 
-    /** The delay of the lab's event loop in microseconds. */
+    /** The distribution of the delays of the lab's event loop, in microseconds. */
     public record LoopDelay(
             long p50, long p99, @JsonProperty("most") long max) {}
 
@@ -167,17 +170,17 @@
     public final List<MisbehavingClientViolation> misbehavingClientViolations = new ArrayList<>();
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** The property of each line that names its kind. */
+    /** The property that holds the kind of a record, present in each line of a file. */
     private static final String KIND_PROPERTY = "is";
 
-    /** One kind of record: its name in files, its class, and the records themselves. */
+    /** A kind of record: its name in files, its class, and the list that holds its records. */
     private record Kind<T>(String name, Class<T> type, List<T> records) {
         void read(JsonNode node) throws IOException {
             records.add(JSON.treeToValue(node, type));
         }
     }
 
-    /** All kinds in the order in which a file has them, which is that of their names. */
+    /** Returns all kinds in the order in which they are written to files, which is by name. */
     private List<Kind<?>> kinds() {
         return List.of(
                 new Kind<>("Attempt", UpstreamAttempt.class, upstreamAttempts),
@@ -196,7 +199,7 @@
                 new Kind<>("Try", ClientRequest.class, clientRequests));
     }
 
-    /** Writes a zstd-compressed file with one JSON object a line. */
+    /** Writes all records to a zstd-compressed file, one JSON object per line. */
     public void write(Path file) throws IOException {
         try (BufferedWriter out = new BufferedWriter(
                 new OutputStreamWriter(new ZstdOutputStream(Files.newOutputStream(file)), StandardCharsets.UTF_8))) {
@@ -211,7 +214,7 @@
         }
     }
 
-    /** Reads a file that {@link #write} has written. */
+    /** Reads records from a file that {@link #write} has written. */
     public static Records read(Path file) throws IOException {
         Records records = new Records();
         Map<String, Kind<?>> byName = new HashMap<>();
@@ -223,7 +226,7 @@
                 String name = node.remove(KIND_PROPERTY).asText();
                 Kind<?> kind = byName.get(name);
                 if (kind == null) {
-                    throw new IOException("records of an unknown kind: " + name);
+                    throw new IOException("unknown kind of record: " + name);
                 }
                 kind.read(node);
             }
--- a/lab/src/main/java/gorsestack/lab/verify/RecoveryMetrics.java
+++ b/lab/src/main/java/gorsestack/lab/verify/RecoveryMetrics.java
@@ -10,23 +10,28 @@
 import java.util.Map;
 import java.util.function.LongPredicate;
 
-/** How fast a fleet recovered from the first measured fault. */
+/** Computes for {@link RunMetrics} how fast a fleet recovered from the first measured fault. */
 final class RecoveryMetrics {
     private static final long SECOND = RunMetrics.SECOND;
-    private static final long REFERENCE = 10 * SECOND;
-    private static final long SEARCH_STEP = SECOND / 10;
-    private static final int FULL_WINDOWS = 5;
-    private static final double FULL_FRACTION = 0.99;
+    /** The length of the interval before the fault whose served fraction is the reference, in nanoseconds. */
+    private static final long REFERENCE_NANOS = 10 * SECOND;
+
+    private static final long SEARCH_STEP_NANOS = SECOND / 10;
+    /** The number of consecutive seconds that must reach the required served fraction. */
+    private static final int FULL_SERVICE_WINDOWS = 5;
+    /** The required served fraction, relative to the reference. */
+    private static final double FULL_SERVICE_FRACTION = 0.99;
 
     private final Records records;
     private final List<Call> calls;
     private final RunPeriods periods;
     private final long faultAt;
-    /** The intended times of all calls, in order. */
+    /** The intended times of all calls, in ascending order. */
     private final long[] times;
-    /** How many of the first calls were served, and how many count. */
+    /** For each index, the number of served calls before it. */
     private final int[] servedBefore;
 
+    /** For each index, the number of calls before it that count. */
     private final int[] countedBefore;
 
     RecoveryMetrics(Records records, List<Call> calls, RunPeriods periods) {
@@ -48,33 +53,33 @@
                 calls.stream().filter(call -> intended.test(call.intended())).toList());
     }
 
-    /** The served fraction of the ten seconds before the fault. */
+    /** Returns the served fraction of the ten seconds before the fault, which recovery is compared with. */
     private double reference() {
         return Calls.servedFraction(calls.stream()
-                .filter(call -> periods.includes(Period.BEFORE, call) && call.intended() >= faultAt - REFERENCE)
+                .filter(call -> periods.includes(Period.BEFORE, call) && call.intended() >= faultAt - REFERENCE_NANOS)
                 .toList());
     }
 
     /**
-     * Seconds from the first measured fault to the first moment from which five consecutive one-second windows each have at least 0.99 of
-     * the served fraction before the fault; searched in steps of a tenth of a second.
+     * Returns the seconds from the first measured fault until full service: the first time from which five consecutive one-second windows
+     * each reach at least 0.99 of the served fraction before the fault. The search advances in steps of 0.1 s.
      */
     double timeToFullService() {
         if (records.injectedFaults.stream().noneMatch(InjectedFault::measured)) {
             return 0;
         }
-        double required = FULL_FRACTION * reference();
-        for (long at = faultAt; at + FULL_WINDOWS * SECOND <= periods.end(); at += SEARCH_STEP) {
-            if (fullServiceFrom(at, required)) {
-                return (at - faultAt) / 1e9;
+        double required = FULL_SERVICE_FRACTION * reference();
+        for (long start = faultAt; start + FULL_SERVICE_WINDOWS * SECOND <= periods.end(); start += SEARCH_STEP_NANOS) {
+            if (fullServiceFrom(start, required)) {
+                return (start - faultAt) / 1e9;
             }
         }
         return RunMetrics.NEVER;
     }
 
-    private boolean fullServiceFrom(long at, double required) {
-        for (int window = 0; window < FULL_WINDOWS; window++) {
-            if (servedFractionOfSecond(at + window * SECOND) < required) {
+    private boolean fullServiceFrom(long start, double required) {
+        for (int window = 0; window < FULL_SERVICE_WINDOWS; window++) {
+            if (servedFractionOfSecond(start + window * SECOND) < required) {
                 return false;
             }
         }
@@ -88,28 +93,31 @@
         return counted == 0 ? 0 : (servedBefore[last] - servedBefore[first]) / (double) counted;
     }
 
-    private int firstCallFrom(long at) {
-        int found = Arrays.binarySearch(times, at);
+    /** Returns the index of the first call whose intended time is not before a time. */
+    private int firstCallFrom(long time) {
+        int found = Arrays.binarySearch(times, time);
         if (found < 0) {
             return -found - 1;
         }
-        while (found > 0 && times[found - 1] == at) {
+        while (found > 0 && times[found - 1] == time) {
             found--;
         }
         return found;
     }
 
     /**
-     * The served fraction from 10 to 20 seconds after the fault, over that of the 10 seconds before it. For fleets that reject calls
-     * before it too, where single seconds differ by chance.
+     * Returns the ratio of the served fraction from 10 to 20 seconds after the fault to that of the 10 seconds before it. It suits fleets
+     * that reject calls even before the fault, where the served fractions of single seconds vary by chance.
      */
     double regainedFraction() {
         double before = reference();
-        long from = faultAt + REFERENCE;
-        return before == 0 ? 0 : servedFraction(at -> at >= from && at < from + REFERENCE) / before;
+        long from = faultAt + REFERENCE_NANOS;
+        return before == 0
+                ? 0
+                : servedFraction(intended -> intended >= from && intended < from + REFERENCE_NANOS) / before;
     }
 
-    /** Seconds from when the last process started after the fault was ready until service was full. */
+    /** Returns the seconds from when the last process that started after the fault was ready until full service. */
     double timeToFullServiceAfterStart() {
         long lastReady = records.processEvents.stream()
                 .filter(event -> event.event().equals("ready") && event.at() >= faultAt)
@@ -119,7 +127,7 @@
         return Math.max(0, timeToFullService() - Math.max(0, lastReady - faultAt) / 1e9);
     }
 
-    /** The longest time that a process started after the fault took to become ready; NEVER if one did not. */
+    /** Returns the longest time that a process started after the fault took to become ready, in seconds; NEVER if one did not. */
     double longestStart() {
         Map<Integer, Long> starting = new HashMap<>();
         double longest = 0;
--- a/lab/src/main/java/gorsestack/lab/verify/ResponseRule.java
+++ b/lab/src/main/java/gorsestack/lab/verify/ResponseRule.java
@@ -7,10 +7,13 @@
 import gorsestack.lab.verify.Records.UpstreamAttempt;
 import java.util.function.Consumer;
 
-/** Rule "lost": one correct response in time for each request, and no attempt once the request has ended. */
+/**
+ * Checks the rule "lost": each request gets exactly one correct response in time, and no attempt starts once the request has ended.
+ * {@link Verifier} uses this class on the thread that verifies.
+ */
 final class ResponseRule {
-    /** How long after a client has disconnected a balancer may still begin an attempt for it. */
-    private static final long DEPARTURE_GRACE = 100_000_000L;
+    /** How long after a client disconnected a balancer may still start an attempt for it, in nanoseconds. */
+    private static final long DISCONNECT_GRACE_NANOS = 100_000_000L;
 
     private static final long NANOS_PER_MS = 1_000_000L;
 
@@ -23,20 +26,21 @@
         this.violations = violations;
     }
 
-    /** The number of requests without a correct response in time, among those that the balancer is responsible for. */
+    /** Returns how many requests got no correct response in time although their balancer was responsible for one. */
     int lostCalls() {
         return lostCalls;
     }
 
-    private void report(long at, String description) {
-        violations.accept(new Violation(Violation.LOST, at, description));
+    private void report(long violatedAt, String description) {
+        violations.accept(new Violation(Violation.LOST, violatedAt, description));
     }
 
-    private void reportLost(long at, String description) {
+    private void reportLost(long violatedAt, String description) {
         lostCalls++;
-        report(at, description);
+        report(violatedAt, description);
     }
 
+    /** Checks that a request got a response in time, and that an upstream produced this response for it. */
     void checkResponse(ClientRequest request) {
         boolean excused = excused(request);
         if (!excused) {
@@ -47,20 +51,25 @@
                 && !evidence.attempts(request.id()).isEmpty()) {
             reportLost(
                     request.ended(),
-                    "n" + request.balancer() + " took " + request.id() + ", sent it on and closed with no answer");
+                    "n" + request.balancer() + " took " + request.id()
+                            + ", forwarded it, and closed the connection without a response");
         }
         if (request.outcome().equals("200") && !request.correct()) {
             reportLost(
                     request.ended(),
-                    "n" + request.balancer() + " answered " + request.id() + " with what no upstream made for it");
+                    "n" + request.balancer() + " answered " + request.id()
+                            + " with a response that no upstream produced for it");
         }
     }
 
-    /** Whether something else than the balancer may be the cause of a missing or late response. */
+    /**
+     * Returns whether a missing or late response may have another cause than the balancer: the request was not sent, the process was
+     * unavailable, or the link of the client had a fault.
+     */
     private boolean excused(ClientRequest request) {
         return request.sent() == Records.NEVER
                 || evidence.processes.unavailable(
-                        request.balancer(), request.intended(), request.ended(), Evidence.TOLERANCE)
+                        request.balancer(), request.intended(), request.ended(), Evidence.TOLERANCE_NANOS)
                 || evidence.linkFaulted(
                         request.party() + ">n" + request.balancer(), request.intended(), request.ended());
     }
@@ -68,61 +77,63 @@
     private void checkTimeliness(ClientRequest request) {
         long due = request.intended() + request.timeBudget();
         if (request.outcome().equals("timeout")) {
-            reportLost(request.ended(), "n" + request.balancer() + " took " + request.id() + " and never answered it");
-        } else if (request.hasStatus() && request.ended() > due + Evidence.TOLERANCE) {
+            reportLost(request.ended(), "n" + request.balancer() + " took " + request.id() + " and sent no response");
+        } else if (request.hasStatus() && request.ended() > due + Evidence.TOLERANCE_NANOS) {
             reportLost(
                     request.ended(),
-                    "n" + request.balancer() + " took " + request.id() + " and answered it "
-                            + (request.ended() - due) / NANOS_PER_MS + " ms after its time");
+                    "n" + request.balancer() + " took " + request.id() + " and responded "
+                            + (request.ended() - due) / NANOS_PER_MS + " ms after its deadline");
         }
     }
 
+    /** Checks that no attempt starts for a request that already has its response. */
     void checkAttemptsAfterResponse(ClientRequest request) {
         for (UpstreamAttempt attempt : evidence.attempts(request.id())) {
-            if (attempt.startedAt() > request.ended() + Evidence.TOLERANCE
+            if (attempt.startedAt() > request.ended() + Evidence.TOLERANCE_NANOS
                     && attempt.balancer() == request.balancer()
                     && startedByChoice(attempt, request.ended())) {
                 report(
                         attempt.startedAt(),
                         "n" + request.balancer() + " sent " + request.id() + " to u" + attempt.upstream() + " "
-                                + (attempt.startedAt() - request.ended()) / NANOS_PER_MS + " ms after its answer");
+                                + (attempt.startedAt() - request.ended()) / NANOS_PER_MS + " ms after its response");
             }
         }
     }
 
-    /** Whether neither a fault of the link nor a stop of the process explains that an attempt is seen so late. */
+    /** Returns whether the balancer started an attempt after a time, as neither a link fault nor SIGSTOP explains its late arrival. */
     private boolean startedByChoice(UpstreamAttempt attempt, long since) {
-        return !evidence.attemptLinkFaulted(attempt, since - Evidence.LINK_RECOVERY)
+        return !evidence.attemptLinkFaulted(attempt, since - Evidence.LINK_RECOVERY_NANOS)
                 && !evidence.processes.stopped(attempt.balancer(), since, attempt.startedAt());
     }
 
+    /** Reports a response that a client received in addition to the one to its request. */
     void checkExtraResponse(ExtraResponse response) {
         report(
                 response.at(),
-                "n" + response.balancer() + " sent more than one answer on the connection of " + response.id());
+                "n" + response.balancer() + " sent more than one response on the connection of " + response.id());
     }
 
-    /** No attempt begins for a client that has disconnected. */
-    void checkAttemptsAfterDeparture(ClientDeparture departure, String party) {
+    /** Checks that no attempt starts for a client that has disconnected. */
+    void checkAttemptsAfterDisconnect(ClientDeparture departure, String party) {
         String clientLink = party + ">n" + departure.balancer();
         for (UpstreamAttempt attempt : evidence.attempts(departure.id())) {
             if (attempt.balancer() == departure.balancer()
-                    && attempt.startedAt() > departure.at() + DEPARTURE_GRACE + Evidence.TOLERANCE
+                    && attempt.startedAt() > departure.at() + DISCONNECT_GRACE_NANOS + Evidence.TOLERANCE_NANOS
                     && startedByChoice(attempt, departure.at())
                     && !evidence.linkFaulted(clientLink, departure.at(), attempt.startedAt())) {
                 report(
                         attempt.startedAt(),
                         "n" + departure.balancer() + " sent " + departure.id() + " to u" + attempt.upstream() + " "
                                 + (attempt.startedAt() - departure.at()) / NANOS_PER_MS
-                                + " ms after its client had left");
+                                + " ms after its client disconnected");
             }
         }
     }
 
-    /** Misbehaving clients too get a response or a close, as long as the balancer is able to give one. */
+    /** Reports a misbehaving client that got neither a response nor a close, unless the balancer or the link could not deliver one. */
     void checkMisbehavingClient(MisbehavingClientViolation violation) {
         int balancer = violation.balancer();
-        if (!evidence.processes.unavailable(balancer, violation.from(), violation.until(), Evidence.TOLERANCE)
+        if (!evidence.processes.unavailable(balancer, violation.from(), violation.until(), Evidence.TOLERANCE_NANOS)
                 && !evidence.processes.terminating(balancer, violation.from(), violation.until())
                 && !evidence.linkFaulted(
                         Verifier.MISBEHAVING_CLIENTS + ">n" + balancer, violation.from(), violation.until())) {
--- a/lab/src/main/java/gorsestack/lab/verify/RunMetrics.java
+++ b/lab/src/main/java/gorsestack/lab/verify/RunMetrics.java
@@ -10,11 +10,14 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 
-/** The metrics of a run by the names that scenarios and results use, computed from its records. */
+/**
+ * Computes the metrics of a run from its records, by the names that scenarios and results use. Invariants, results and charts are based on
+ * them.
+ */
 public final class RunMetrics {
-    /** Nanoseconds in a second. */
+    /** The number of nanoseconds in a second. */
     public static final long SECOND = 1_000_000_000L;
-    /** A time in seconds that stands for a recovery that did not happen within the run. */
+    /** The value of a recovery time, in seconds, if the recovery did not happen within the run. */
     public static final double NEVER = 999;
 
     private final Scenario scenario;
@@ -26,7 +29,7 @@
     private final PeakMetrics peaks;
     private final Map<String, ToDoubleFunction<Period>> metrics = new HashMap<>();
 
-    /** Metrics of a run; the number of lost calls comes from its verification. */
+    /** Prepares the metrics of a run; the number of lost calls is taken from its verification. */
     public RunMetrics(Scenario scenario, Records records, int lostCalls) {
         this.scenario = scenario;
         this.records = records;
@@ -43,13 +46,13 @@
 
     private void registerCallMetrics() {
         ofCalls("served", Calls::servedFraction);
-        ofCalls("served_worst_second", some -> Calls.worstServedFraction(some, Call::second));
-        ofCalls("served_worst_zone", some -> Calls.worstServedFraction(some, Call::zone));
-        ofCalls("served_worst_product", some -> Calls.worstServedFraction(some, Call::product));
-        ofCalls("served_worst_tenant", some -> Calls.worstServedFraction(some, Call::tenant));
-        ofCalls("rate_limited", some -> Calls.fraction(some, Outcome.RATE_LIMITED));
-        ofCalls("errored", some -> Calls.fraction(some, Outcome.ERRORED));
-        ofCalls("p99_ms", some -> Calls.latencyPercentileMs(some, 99));
+        ofCalls("served_worst_second", callsInPeriod -> Calls.worstServedFraction(callsInPeriod, Call::second));
+        ofCalls("served_worst_zone", callsInPeriod -> Calls.worstServedFraction(callsInPeriod, Call::zone));
+        ofCalls("served_worst_product", callsInPeriod -> Calls.worstServedFraction(callsInPeriod, Call::product));
+        ofCalls("served_worst_tenant", callsInPeriod -> Calls.worstServedFraction(callsInPeriod, Call::tenant));
+        ofCalls("rate_limited", callsInPeriod -> Calls.fraction(callsInPeriod, Outcome.RATE_LIMITED));
+        ofCalls("errored", callsInPeriod -> Calls.fraction(callsInPeriod, Outcome.ERRORED));
+        ofCalls("p99_ms", callsInPeriod -> Calls.latencyPercentileMs(callsInPeriod, 99));
         ofRun("lost", () -> lostCalls);
         metrics.put("attempts_per_call", this::attemptsPerCall);
     }
@@ -77,16 +80,17 @@
         ofRun("killed_after_term", () -> countEvents(event -> event.equals("killed after term")));
     }
 
+    /** Registers a metric of the calls of a period. */
     private void ofCalls(String name, ToDoubleFunction<List<Call>> metric) {
         metrics.put(name, period -> metric.applyAsDouble(calls(period)));
     }
 
-    /** A metric that does not depend on the period. */
+    /** Registers a metric that is the same for all periods. */
     private void ofRun(String name, DoubleSupplier metric) {
         metrics.put(name, period -> metric.getAsDouble());
     }
 
-    /** The value of a metric over a period. */
+    /** Returns the value of a metric over a period. */
     public double get(String metric, Period period) {
         ToDoubleFunction<Period> computation = metrics.get(metric);
         if (computation == null) {
@@ -95,12 +99,12 @@
         return computation.applyAsDouble(period);
     }
 
-    /** The value of the calls served in a period over the value of all; late responses count in part. */
+    /** Returns the ratio of the earned value to the possible value of the calls in a period; late responses earn a part. */
     public double valueFraction(Period period) {
         return Calls.valueFraction(calls(period));
     }
 
-    /** All calls of the measured load by their intended time. */
+    /** Returns all calls of the measured load, ordered by their intended time. */
     public List<Call> calls() {
         return calls;
     }
--- a/lab/src/main/java/gorsestack/lab/verify/Verifier.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Verifier.java
@@ -9,11 +9,11 @@
 import java.util.List;
 
 /**
- * Checks whether a fleet kept the four rules, by what clients, upstreams and discovery observed. Reports of the balancers themselves are not
- * used.
+ * Checks whether a fleet complied with the four rules, based on what clients, upstreams and discovery observed; reports of the balancers
+ * themselves are not used. A result is computed from one verifier on a single thread, either after a run or from stored records.
  */
 public final class Verifier {
-    /** The party that misbehaving clients belong to; names their links. */
+    /** The party that misbehaving clients belong to, which is part of the names of their links. */
     public static final String MISBEHAVING_CLIENTS = "clients-rude";
 
     private final Records records;
@@ -23,7 +23,7 @@
     private final DuplicateRule duplicates;
     private final DrainRule drains;
 
-    /** A verifier of the records of one run. */
+    /** Creates a verifier of the records of one run. */
     public Verifier(Scenario scenario, Records records) {
         this.records = records;
         evidence = new Evidence(scenario, records);
@@ -32,11 +32,11 @@
         drains = new DrainRule(evidence, violations::add);
     }
 
-    /** Checks all rules. */
+    /** Checks all rules and returns this verifier; called once. */
     public Verifier verify() {
         records.clientRequests.forEach(this::checkRequest);
         records.extraResponses.forEach(responses::checkExtraResponse);
-        records.departures.forEach(departure -> responses.checkAttemptsAfterDeparture(departure, MISBEHAVING_CLIENTS));
+        records.departures.forEach(departure -> responses.checkAttemptsAfterDisconnect(departure, MISBEHAVING_CLIENTS));
         records.clientRequests.stream()
                 .filter(request -> request.outcome().equals("left"))
                 .forEach(this::checkAbandonedRequest);
@@ -57,7 +57,7 @@
     }
 
     private void checkAbandonedRequest(ClientRequest request) {
-        responses.checkAttemptsAfterDeparture(
+        responses.checkAttemptsAfterDisconnect(
                 new ClientDeparture(request.id(), request.balancer(), request.ended()), request.party());
     }
 
@@ -65,16 +65,16 @@
         violations.add(new Violation(
                 Violation.OVERLOAD,
                 overload.at(),
-                "u" + overload.upstream() + ", cold, was offered " + Math.round(overload.offered())
-                        + " ms of work where it could do " + Math.round(overload.capacity())));
+                "u" + overload.upstream() + ", in slow start, was offered " + Math.round(overload.offered())
+                        + " ms of work, with a capacity of " + Math.round(overload.capacity())));
     }
 
-    /** All violations found, by their time. */
+    /** Returns all violations, ordered by time. */
     public List<Violation> violations() {
         return violations;
     }
 
-    /** The number of requests that got no correct response in time. */
+    /** Returns the number of requests that got no correct response in time. */
     public int lostCalls() {
         return responses.lostCalls();
     }
--- a/lab/src/main/java/gorsestack/lab/verify/Violation.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Violation.java
@@ -1,13 +1,19 @@
 package gorsestack.lab.verify;
 
-/** A violation of a rule by a balancer; the description says by which, when and how. */
+/**
+ * A violation of a rule by a balancer, as found by {@link Verifier}.
+ *
+ * @param rule the name of the rule, one of the constants of this class
+ * @param at when the violation happened, in nanoseconds from the start of the measured load
+ * @param description the balancer, the request and how they violated the rule
+ */
 public record Violation(String rule, long at, String description) {
-    /** Every request that was accepted gets one correct response in time, and nothing is done for it afterwards. */
+    /** The rule that each accepted request gets exactly one correct response in time, and that no attempt starts after it. */
     public static final String LOST = "lost";
-    /** Nothing is executed twice that must not be. */
+    /** The rule that a request that must not be repeated is executed at most once. */
     public static final String DUPLICATE = "dup";
-    /** No request is sent to an upstream that has been taken out of service. */
+    /** The rule that no request is sent to an upstream that is out of service. */
     public static final String DRAIN = "drain";
-    /** An upstream is not overloaded during its slow start. */
+    /** The rule that an upstream is not overloaded during its slow start. */
     public static final String OVERLOAD = "cold";
 }
--- a/lab/src/main/java/gorsestack/lab/verify/package-info.java
+++ b/lab/src/main/java/gorsestack/lab/verify/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The records of a run, the verification of rules against them, and the metrics computed from them.
+ * Stores the records of a run, verifies rules against them, and computes metrics from them.
  */
 package gorsestack.lab.verify;
