--- a/lab/src/main/java/gorsestack/lab/run/FaultInjector.java
+++ b/lab/src/main/java/gorsestack/lab/run/FaultInjector.java
@@ -25,22 +25,24 @@
 import java.util.regex.Pattern;
 
 /**
- * Injects the faults of a scenario, each at its time or when its line appears in a balancer's log, and ends them. Confined to the event
- * loop.
+ * Injects the faults of a scenario, each at its time or once a line in a balancer's log matches its pattern, and ends them.
+ * {@link ScenarioRun} creates an injector when the load starts. Confined to the event loop.
  */
 final class FaultInjector {
-    private static final long LOG_POLL_INTERVAL = 20_000_000L;
+    private static final long LOG_POLL_INTERVAL_NANOS = 20_000_000L;
 
-    /** Begins a fault of the selected parties and schedules its end; returns the parties or links that it acts on. */
+    /** Begins and ends one kind of fault. */
     private interface Injection {
+        /** Begins a fault of the selected parties and schedules its end; returns the affected parties or links. */
         Set<String> inject(Fault fault, Set<String> selected);
     }
 
-    /** The same for a fault of balancers or upstreams, by their numbers. */
+    /** Begins and ends one kind of fault of balancers or upstreams, which are given by their numbers. */
     private interface NumberedInjection {
         void inject(Fault fault, List<Integer> numbers);
     }
 
+    /** Changes the operating system faults of one balancer, which is identified by its log. */
     private interface SystemFault {
         void apply(Path log) throws IOException;
     }
@@ -83,7 +85,7 @@
         return (long) (seconds * 1e9);
     }
 
-    /** Schedules all faults of the scenario. */
+    /** Schedules all faults of the scenario; called once, when the load starts. */
     void schedule() {
         for (Fault fault : testbed.scenario.faults()) {
             boolean timed = fault.triggerPattern().isEmpty();
@@ -101,7 +103,7 @@
         if (log.newLines().stream().anyMatch(line -> pattern.matcher(line).find())) {
             begin(fault);
         } else {
-            testbed.after(LOG_POLL_INTERVAL, () -> pollLog(fault, log, pattern));
+            testbed.after(LOG_POLL_INTERVAL_NANOS, () -> pollLog(fault, log, pattern));
         }
     }
 
@@ -131,8 +133,8 @@
     }
 
     private void registerProcessFaults() {
-        register("kill", (fault, balancers) -> end("KILL", fault, balancers));
-        register("term", (fault, balancers) -> end("TERM", fault, balancers));
+        register("kill", (fault, balancers) -> endProcesses("KILL", fault, balancers));
+        register("term", (fault, balancers) -> endProcesses("TERM", fault, balancers));
         register("start", (fault, balancers) -> fleet.start(balancers));
         register("hup", (fault, balancers) -> fleet.signal("HUP", balancers));
         register(
@@ -161,7 +163,7 @@
                 systemFault.apply(fleet.balancers.get(balancer).log());
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot write a shim's control file", e);
+            throw new UncheckedIOException("cannot write the control file of a shim, so the fault is not injected", e);
         }
     }
 
@@ -189,7 +191,7 @@
         numbers.forEach(number -> upstreams.all.get(number).setHanging(hanging));
     }
 
-    /** A fault that sets a value of upstreams to the fault's size, and back to its normal value at the end. */
+    /** Registers a fault that sets a property of upstreams to the fault's size, and at its end back to the normal value. */
     private void registerUpstreamSetting(String kind, ObjDoubleConsumer<Upstream> setting, double normalValue) {
         register(
                 kind,
@@ -206,32 +208,33 @@
                         fault, () -> misbehavingClients.start(balancers, fault.size()), misbehavingClients::stop));
         register(
                 "burst",
-                (fault, none) -> forDuration(fault, () -> clients.setBurst(fault.size()), () -> clients.setBurst(1)));
+                (fault, unused) -> forDuration(fault, () -> clients.setBurst(fault.size()), () -> clients.setBurst(1)));
     }
 
     private void registerDiscoveryFaults() {
         register(
                 "discovery_down",
-                (fault, none) -> forDuration(fault, () -> discovery.setDown(true), () -> discovery.setDown(false)));
+                (fault, unused) -> forDuration(fault, () -> discovery.setDown(true), () -> discovery.setDown(false)));
         register(
                 "discovery_silent",
-                (fault, none) -> forDuration(fault, () -> discovery.setSilent(true), () -> discovery.setSilent(false)));
+                (fault, unused) ->
+                        forDuration(fault, () -> discovery.setSilent(true), () -> discovery.setSilent(false)));
         double callsPerSecond = testbed.scenario.discovery().callsPerSecond();
         register(
                 "discovery_slow",
-                (fault, none) -> forDuration(
+                (fault, unused) -> forDuration(
                         fault,
                         () -> discovery.setCallsPerSecond(fault.size()),
                         () -> discovery.setCallsPerSecond(callsPerSecond)));
         double propagationDelay = testbed.scenario.discovery().propagationDelay();
         register(
                 "discovery_late",
-                (fault, none) -> forDuration(
+                (fault, unused) -> forDuration(
                         fault,
                         () -> discovery.setPropagationDelay(fault.size()),
                         () -> discovery.setPropagationDelay(propagationDelay)));
-        register("discovery_half_line", (fault, none) -> discovery.sendPartialLine());
-        register("discovery_moves", (fault, none) -> moveDiscovery());
+        register("discovery_half_line", (fault, unused) -> discovery.sendPartialLine());
+        register("discovery_moves", (fault, unused) -> moveDiscovery());
     }
 
     private void moveDiscovery() {
@@ -239,12 +242,13 @@
         fleet.signal("HUP", PartySelector.numbers(new TreeSet<>(parties.balancers())));
     }
 
+    /** Runs one task now and another at the end of the fault. */
     private void forDuration(Fault fault, Runnable begin, Runnable end) {
         begin.run();
         testbed.after(nanos(fault.duration()), end);
     }
 
-    /** Acts on one party after another, as far apart as the scenario says. */
+    /** Applies an action to one party after another, at the interval of the fault. */
     private void stagger(Fault fault, List<Integer> numbers, IntConsumer action) {
         for (int i = 0; i < numbers.size(); i++) {
             int number = numbers.get(i);
@@ -252,15 +256,16 @@
         }
     }
 
-    private void end(String signal, Fault fault, List<Integer> balancers) {
+    /** Sends a signal that ends balancers, one after another if the fault has an interval, and restarts them if it has a restart delay. */
+    private void endProcesses(String signal, Fault fault, List<Integer> balancers) {
         if (fault.interval() > 0) {
-            stagger(fault, balancers, balancer -> endAtOnce(signal, fault, List.of(balancer)));
+            stagger(fault, balancers, balancer -> endTogether(signal, fault, List.of(balancer)));
         } else {
-            endAtOnce(signal, fault, balancers);
+            endTogether(signal, fault, balancers);
         }
     }
 
-    private void endAtOnce(String signal, Fault fault, List<Integer> balancers) {
+    private void endTogether(String signal, Fault fault, List<Integer> balancers) {
         fleet.signal(signal, balancers);
         if (fault.restartDelay() >= 0) {
             testbed.after(nanos(fault.restartDelay()), () -> {
@@ -270,6 +275,7 @@
         }
     }
 
+    /** Crashes an upstream, which discovery publishes after its failure detection delay, and restarts it if the fault has a restart delay. */
     private void crash(Upstream upstream, double restartDelay) {
         upstream.crash();
         testbed.after(nanos(testbed.scenario.discovery().failureDetectionDelay()), () -> {
@@ -285,7 +291,7 @@
         }
     }
 
-    /** Starts an upstream, in slow start, in place of an old one, which drains and then ends. */
+    /** Replaces an upstream by a new one that begins in slow start; the old one drains and then terminates. */
     private void replace(Upstream old) {
         Upstream replacement = upstreams.addReplacement(old);
         discovery.publish(replacement, Discovery.IN_SERVICE);
--- a/lab/src/main/java/gorsestack/lab/run/LinkFaults.java
+++ b/lab/src/main/java/gorsestack/lab/run/LinkFaults.java
@@ -9,9 +9,12 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
-/** Injects faults into the links between two sets of parties, also into those created while the fault lasts. */
+/**
+ * Injects faults into the links between two sets of parties, including links that are created during the fault. {@link FaultInjector}
+ * delegates the kinds of faults that act on links to this class. Confined to the event loop.
+ */
 final class LinkFaults {
-    /** The kinds of faults that this class injects. */
+    /** The kinds of faults that this class can inject. */
     static final List<String> KINDS =
             List.of("drop", "stall", "delay", "reset", "throttle", "loss", "duplicate", "reorder");
 
@@ -25,33 +28,34 @@
         this.seed = seed;
     }
 
-    /** Begins a fault and schedules its end; returns the links that it acts on so far. */
+    /** Begins a fault and schedules its end; returns the set of affected links, to which later links are added. */
     Set<String> inject(Fault fault, Set<String> from) {
-        Set<String> to = parties.select(fault.to(), seed * 37 + fault.number());
-        Injection injection = new Injection(fault, matching(fault.from(), from), matching(fault.to(), to));
+        Set<String> selectedTo = parties.select(fault.to(), seed * 37 + fault.number());
+        Injection injection = new Injection(fault, matching(fault.from(), from), matching(fault.to(), selectedTo));
         testbed.links.between(injection.from, injection.to).forEach(injection::apply);
         if (!fault.kind().equals("reset")) {
-            Runnable ignoreNewLinks = testbed.links.onNewLink(injection::apply);
+            Runnable stopListening = testbed.links.onNewLink(injection::apply);
             testbed.after((long) (fault.duration() * 1e9), () -> {
-                ignoreNewLinks.run();
-                injection.ends.forEach(Runnable::run);
+                stopListening.run();
+                injection.endTasks.forEach(Runnable::run);
             });
         }
         return injection.links;
     }
 
-    /** An expression without a share also matches parties that do not exist yet. */
+    /** Returns what an expression matches. An expression that draws no random fraction also matches parties that do not exist yet. */
     private Predicate<String> matching(String expression, Set<String> selected) {
         return PartySelector.drawsFraction(expression) ? selected::contains : parties.matching(expression);
     }
 
-    /** One fault, and the links that it acts on. */
+    /** One fault and the links that it affects. */
     private static final class Injection {
         private final Fault fault;
         private final Predicate<String> from;
         private final Predicate<String> to;
         private final Set<String> links = new TreeSet<>();
-        private final List<Runnable> ends = new ArrayList<>();
+        /** The tasks that end the fault on each link. */
+        private final List<Runnable> endTasks = new ArrayList<>();
 
         Injection(Fault fault, Predicate<String> from, Predicate<String> to) {
             this.fault = fault;
@@ -59,6 +63,7 @@
             this.to = to;
         }
 
+        /** Begins the fault on a link if the link connects the two sets of parties. */
         void apply(Link link) {
             boolean forward = from.test(link.from) && to.test(link.to);
             boolean backward = from.test(link.to) && to.test(link.from);
@@ -67,14 +72,14 @@
             }
             links.add(link.from + ">" + link.to);
             if (forward || fault.bothDirections()) {
-                ends.add(impair(link, link.forward));
+                endTasks.add(impair(link, link.forward));
             }
             if (backward || fault.bothDirections()) {
-                ends.add(impair(link, link.backward));
+                endTasks.add(impair(link, link.backward));
             }
         }
 
-        /** Begins the fault in one direction of a link; the returned task ends it. */
+        /** Begins the fault in one direction of a link and returns the task that ends it. */
         private Runnable impair(Link link, Link.Direction direction) {
             switch (fault.kind()) {
                 case "drop" -> {
@@ -114,7 +119,7 @@
                     direction.reorder = fault.size();
                     return () -> direction.reorder = 0;
                 }
-                default -> throw new IllegalStateException("no fault of links: " + fault.kind());
+                default -> throw new IllegalStateException("not a kind of link fault: " + fault.kind());
             }
         }
     }
--- a/lab/src/main/java/gorsestack/lab/run/LogTail.java
+++ b/lab/src/main/java/gorsestack/lab/run/LogTail.java
@@ -7,16 +7,17 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Reads a log that is being written, each complete line once. */
+/** Reads the log of a running balancer and returns each complete line once. Confined to the event loop. */
 final class LogTail {
     private final Path log;
+    /** The number of bytes of the log that have been returned. */
     private int readBytes;
 
     LogTail(Path log) {
         this.log = log;
     }
 
-    /** The complete lines that were written since the last call; a file that does not exist yet has none. */
+    /** Returns the complete lines that were written since the last call; none if the file does not exist yet. */
     List<String> newLines() {
         if (!Files.exists(log)) {
             return List.of();
@@ -33,7 +34,7 @@
                     .lines()
                     .toList();
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot read " + log, e);
+            throw new UncheckedIOException("cannot read the log " + log, e);
         }
     }
 }
--- a/lab/src/main/java/gorsestack/lab/run/LoopDelayMonitor.java
+++ b/lab/src/main/java/gorsestack/lab/run/LoopDelayMonitor.java
@@ -5,13 +5,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures how late the event loop runs tasks. All stand-ins and measurements of the lab are delayed as much, so a run with high delays
- * proves nothing.
+ * Measures how late the event loop runs tasks. All stand-ins and measurements of the lab run on this loop and are delayed as much, so a
+ * run with high delays is inconclusive.
  */
 final class LoopDelayMonitor {
-    private static final long INTERVAL = 10_000_000L;
+    private static final long INTERVAL_NANOS = 10_000_000L;
     private static final long MAX_DELAY_US = 59_000_000L;
     private static final long HIGHEST_TRACKABLE_US = 60_000_000L;
+    /** The number of significant decimal digits of recorded delays. */
     private static final int DIGITS = 3;
 
     private final Testbed testbed;
@@ -22,13 +23,13 @@
         this.testbed = testbed;
     }
 
-    /** Starts measuring; called on the event loop. */
+    /** Starts the measurement; called on the event loop. */
     void start() {
         running = true;
-        measure(INTERVAL);
+        measure(INTERVAL_NANOS);
     }
 
-    /** Ends measuring; may be called from any thread. */
+    /** Ends the measurement; may be called from any thread. */
     void stop() {
         running = false;
     }
@@ -38,12 +39,12 @@
             long delayUs = (testbed.now() - due) / 1000;
             delays.recordValue(Math.max(0, Math.min(MAX_DELAY_US, delayUs)));
             if (running) {
-                measure(Math.max(due + INTERVAL, testbed.now()));
+                measure(Math.max(due + INTERVAL_NANOS, testbed.now()));
             }
         });
     }
 
-    /** The distribution of all delays; called after the event loop has ended. */
+    /** Returns the distribution of all delays; called after the event loop has terminated. */
     LoopDelay result() {
         return new LoopDelay(delays.getValueAtPercentile(50), delays.getValueAtPercentile(99), delays.getMaxValue());
     }
--- a/lab/src/main/java/gorsestack/lab/run/PartySelector.java
+++ b/lab/src/main/java/gorsestack/lab/run/PartySelector.java
@@ -10,13 +10,13 @@
 import java.util.function.Predicate;
 
 /**
- * Evaluates the expressions by which scenarios select parties. Parties are named n3 (balancer), u12 (upstream), discovery, clients-a and
- * front-a.
+ * Evaluates the expressions that select the parties of a fault in a scenario. Examples of party names are n3 (a balancer), u12 (an
+ * upstream), discovery, clients-a (the clients of zone a) and front-a (the front proxy of zone a). Confined to the event loop.
  */
 final class PartySelector {
     private static final String ZONE = "zone:";
     private static final String TIER = "tier:";
-    private static final String SHARE = "share:";
+    private static final String FRACTION = "share:";
     private static final String CLIENTS = "clients-";
     private static final String FRONT = "front-";
 
@@ -30,12 +30,12 @@
         fleetSize = testbed.scenario.fleet().balancers();
     }
 
-    /** Whether an expression draws a random share of the parties that it matches. */
+    /** Returns whether an expression draws a random fraction of the parties that it matches. */
     static boolean drawsFraction(String expression) {
-        return expression.contains(SHARE);
+        return expression.contains(FRACTION);
     }
 
-    /** The numbers of the balancers or upstreams among some parties. */
+    /** Returns the numbers of the balancers and upstreams in a set of parties. */
     static List<Integer> numbers(Set<String> parties) {
         return parties.stream()
                 .filter(party -> party.matches("[nu]\\d+"))
@@ -59,7 +59,7 @@
         return parties;
     }
 
-    /** The names of all balancers. */
+    /** Returns the names of all balancers. */
     List<String> balancers() {
         List<String> parties = new ArrayList<>();
         for (int number = 0; number < testbed.scenario.processes(); number++) {
@@ -68,6 +68,7 @@
         return parties;
     }
 
+    /** Returns the zone of a party, or an empty string if it has none. */
     private String zone(String party) {
         if (party.startsWith("u")) {
             return upstreams.all.get(number(party)).zone;
@@ -82,13 +83,13 @@
         return party.startsWith(FRONT) ? party.substring(FRONT.length()) : "";
     }
 
-    /** The parties that match all terms of an expression, not considering shares. */
+    /** Returns a predicate for the parties that match all terms of an expression, apart from its random fractions. */
     Predicate<String> matching(String expression) {
         Predicate<String> all = party -> true;
         for (String term : expression.split("@")) {
-            String plain = term.startsWith("!") ? term.substring(1) : term;
-            if (!plain.startsWith(SHARE)) {
-                Predicate<String> matching = matchingTerm(plain);
+            String positiveTerm = term.startsWith("!") ? term.substring(1) : term;
+            if (!positiveTerm.startsWith(FRACTION)) {
+                Predicate<String> matching = matchingTerm(positiveTerm);
                 all = all.and(term.startsWith("!") ? matching.negate() : matching);
             }
         }
@@ -114,13 +115,13 @@
         };
     }
 
-    /** The parties that an expression selects; shares are drawn from the seed alone. */
+    /** Returns the parties that an expression selects; random fractions depend on the seed alone. */
     Set<String> select(String expression, long seed) {
         List<String> selected =
                 new ArrayList<>(all().stream().filter(matching(expression)).toList());
         for (String term : expression.split("@")) {
-            if (term.startsWith(SHARE)) {
-                double fraction = Double.parseDouble(term.substring(SHARE.length()));
+            if (term.startsWith(FRACTION)) {
+                double fraction = Double.parseDouble(term.substring(FRACTION.length()));
                 int count = (int) Math.round(selected.size() * fraction);
                 shuffle(selected, new SplittableRandom(seed));
                 selected = new ArrayList<>(selected.subList(0, count));
--- a/lab/src/main/java/gorsestack/lab/run/RunObserver.java
+++ b/lab/src/main/java/gorsestack/lab/run/RunObserver.java
@@ -3,11 +3,11 @@
 import gorsestack.lab.net.Addresses;
 import gorsestack.lab.process.BalancerFleet;
 
-/** Observes the balancers of a run from outside; called on the thread of the run. */
+/** A listener for the phases of a run, which may inspect the balancers from outside; called on the thread of the run. */
 public interface RunObserver {
-    /** All balancers are ready, and the load is about to start. */
+    /** Notifies the observer that all balancers are ready and the load is about to start. */
     default void fleetReady(Addresses addresses, BalancerFleet fleet) {}
 
-    /** The load has ended, and the balancers are about to be ended. */
+    /** Notifies the observer that the load has ended and the balancers are about to be terminated. */
     default void beforeStop(BalancerFleet fleet) {}
 }
--- a/lab/src/main/java/gorsestack/lab/run/ScenarioRun.java
+++ b/lab/src/main/java/gorsestack/lab/run/ScenarioRun.java
@@ -36,11 +36,20 @@
 import java.util.logging.Logger;
 import java.util.stream.IntStream;
 
-/** One run of a scenario with one seed, from the start of the first process to the verdict. */
+/**
+ * One run of a scenario with one seed, from the start of the first process to the verdict. Commands and the soak create a new instance for
+ * each run and call it on their own thread; the stand-ins run on an event loop that the run owns.
+ */
 public final class ScenarioRun {
     /**
-     * What to run, and where. The root is the folder of the repository, in which the command starts a balancer; the previous root is that of
-     * another version, which every second balancer is of, or null.
+     * The settings of a run.
+     *
+     * @param root the root folder of the repository, which is the working directory of the command
+     * @param command the shell command that starts a balancer
+     * @param previousRoot the root folder of another version, which every second balancer runs, or null
+     * @param version the version of the balancer, for the result
+     * @param output the folder for the records, the result and the report
+     * @param progress the stream that progress is printed to
      */
     public record Plan(
             Scenario scenario,
@@ -54,14 +63,15 @@
             PrintStream progress) {}
 
     private static final long POLL_INTERVAL_MS = 50;
-    /** How much longer than the scenario's settle time calls in progress are waited for, in seconds. */
-    private static final double OPEN_CALLS_GRACE = 4;
+    /** How long the run waits for calls in progress after the settle time of the scenario, in seconds. */
+    private static final double OPEN_CALLS_GRACE_SECONDS = 4;
 
     private static final int PROGRESS_INTERVAL_SECONDS = 5;
+    /** The state changes that need a backup of the state folders. */
     private static final Set<String> STATES_FROM_BACKUP = Set.of("older", "swapped");
 
-    /** Silenced, because a stack trace for each connection that is cut while it is accepted delays the event loop by 10 ms. */
-    private static final Logger NETTY = Logger.getLogger("io.netty");
+    /** Netty's logger, which runs turn off: the stack trace of a connection that is cut during accept delays the event loop by 10 ms. */
+    private static final Logger NETTY_LOGGER = Logger.getLogger("io.netty");
 
     private final Plan plan;
     private final Scenario scenario;
@@ -73,20 +83,22 @@
     private UpstreamPool upstreams;
     private Discovery discovery;
     private LoadGenerator clients;
+    /** The balancers, or null before their creation; also read by the shutdown hook. */
     private volatile BalancerFleet fleet;
 
-    /** A run that has not started. */
+    /** Creates a run; {@link #play()} starts it. */
     public ScenarioRun(Plan plan) {
         this.plan = plan;
         scenario = plan.scenario;
     }
 
-    /** Sets the observer of the run; there is at most one. */
+    /** Sets the observer of the run, which replaces an earlier one, and returns this run. */
     public ScenarioRun observedBy(RunObserver runObserver) {
         observer = runObserver;
         return this;
     }
 
+    /** Runs a task on the event loop and waits for its result. */
     private <T> T callOnLoop(Callable<T> task) throws InterruptedException {
         try {
             return testbed.loop.submit(task).get();
@@ -102,10 +114,10 @@
         });
     }
 
-    /** Plays the scenario, writes records, result and report into the output folder, and returns the result. */
+    /** Runs the scenario, writes records, result and report to the output folder, and returns the result. */
     public RunResult play() throws IOException, InterruptedException {
         InternalErrors.clear();
-        NETTY.setLevel(Level.OFF);
+        NETTY_LOGGER.setLevel(Level.OFF);
         Files.createDirectories(plan.output);
         Files.writeString(plan.output.resolve(RunResult.SCENARIO_FILE), plan.scenarioText);
         String startedAt = Instant.now().toString();
@@ -134,7 +146,7 @@
         }
     }
 
-    /** Plays the scenario between the creation of the stand-ins and their end; returns why it failed to start, or null. */
+    /** Starts the stand-ins and the balancers and runs the load; returns the reason if the balancers did not start, otherwise null. */
     private String play(Addresses addresses) throws IOException, InterruptedException {
         startStandIns(addresses);
         String failure = startFleet();
@@ -181,7 +193,7 @@
         }
     }
 
-    /** Starts the balancers and waits until all are ready; returns why they are not, or null. */
+    /** Starts the balancers and waits until all are ready; returns the reason if they are not ready in time, otherwise null. */
     private String startFleet() throws InterruptedException {
         int count = scenario.processes();
         plan.progress.println(scenario.name() + ", seed " + plan.seed + ": starting " + count + " balancers");
@@ -204,8 +216,8 @@
     }
 
     /**
-     * Starts the load. It begins before the clock reads zero, because during the warm-up the code of the lab and of the balancers is
-     * compiled, as it would have been long before on a real fleet.
+     * Starts the load and schedules the faults. The load begins before the clock reads zero: during this warm-up the code of the lab and of
+     * the balancers is compiled, which on a real fleet would have happened long before.
      */
     private void startLoad() {
         Records records = testbed.records;
@@ -214,24 +226,25 @@
         List<ProcessEvent> earlierEvents = List.copyOf(records.processEvents);
         long before = testbed.now();
         testbed.startClock((long) (scenario.warmUp() * 1e9));
-        long setBack = before - testbed.now();
+        long clockShift = before - testbed.now();
         records.processEvents.clear();
         earlierEvents.forEach(event ->
-                records.processEvents.add(new ProcessEvent(event.balancer(), event.event(), event.at() - setBack)));
+                records.processEvents.add(new ProcessEvent(event.balancer(), event.event(), event.at() - clockShift)));
         delayMonitor.start();
         testbed.at(0, () -> testbed.connectionsOpened = 0);
         new FaultInjector(testbed, upstreams, discovery, clients, fleet, plan.seed).schedule();
         clients.start();
     }
 
+    /** Waits for the end of the measured load, and meanwhile takes a sample each second and prints the progress. */
     private void sampleEachSecond() throws InterruptedException {
         long seconds = Math.round(scenario.seconds());
         for (int second = 1; second <= seconds; second++) {
             long end = (long) (second * 1e9);
             long remaining = callOnLoop(() -> end - testbed.now());
             Thread.sleep(Math.max(0, remaining / 1_000_000));
-            int sampled = second - 1;
-            runOnLoop(() -> sample(sampled));
+            int sampledSecond = second - 1;
+            runOnLoop(() -> sample(sampledSecond));
             if (second % PROGRESS_INTERVAL_SECONDS == 0) {
                 int elapsed = second;
                 plan.progress.println("  " + callOnLoop(() -> progress(elapsed)));
@@ -259,7 +272,7 @@
     }
 
     private void awaitOpenCalls() throws InterruptedException {
-        long deadline = System.nanoTime() + (long) ((scenario.completionTimeout() + OPEN_CALLS_GRACE) * 1e9);
+        long deadline = System.nanoTime() + (long) ((scenario.completionTimeout() + OPEN_CALLS_GRACE_SECONDS) * 1e9);
         while (callOnLoop(clients::openCalls) > 0 && System.nanoTime() < deadline) {
             Thread.sleep(POLL_INTERVAL_MS);
         }
--- a/lab/src/main/java/gorsestack/lab/run/package-info.java
+++ b/lab/src/main/java/gorsestack/lab/run/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A run of a scenario from start to verdict, and the injection of its faults.
+ * Runs a scenario from the start of the processes to the verdict, and injects its faults.
  */
 package gorsestack.lab.run;
