--- a/lab/src/main/java/gorsestack/lab/Main.java
+++ b/lab/src/main/java/gorsestack/lab/Main.java
@@ -14,12 +14,12 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The lab's command line. */
+/** The command line of the lab: parses the arguments and executes one command on the main thread. */
 @Command(
         name = "gorsestack-lab",
         mixinStandardHelpOptions = true,
         versionProvider = LabVersion.class,
-        description = "Many processes of the balancer, stand-ins around them, and faults between them.",
+        description = "Runs many balancer processes against stand-ins for their environment and injects faults.",
         subcommands = {
             RunCommand.class,
             ListCommand.class,
@@ -31,13 +31,13 @@
 public final class Main implements Callable<Integer> {
     private static final int INVALID_INPUT = 2;
 
-    /** Runs a command and ends the process with its exit code. */
+    /** Executes a command and exits the process with the exit code of the command. */
     public static void main(String[] args) {
         System.setProperty("java.awt.headless", "true");
         System.exit(run(args));
     }
 
-    /** Runs a command and returns its exit code. */
+    /** Executes a command and returns its exit code. Invalid input is reported on standard error in one line. */
     public static int run(String... args) {
         return new CommandLine(new Main())
                 .setExecutionExceptionHandler((exception, commandLine, parsed) -> {
@@ -56,7 +56,7 @@
                 + message.lines().findFirst().orElse("");
     }
 
-    /** Without a command: prints the usage. */
+    /** Prints the usage, because no command was given. */
     @Override
     public Integer call() {
         CommandLine.usage(this, System.err);
--- a/lab/src/main/java/gorsestack/lab/cli/BuiltInScenarios.java
+++ b/lab/src/main/java/gorsestack/lab/cli/BuiltInScenarios.java
@@ -7,9 +7,9 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The scenarios that are part of the lab. */
+/** Gives the commands access to the scenarios that are packaged with the lab. */
 final class BuiltInScenarios {
-    /** Their names, in the order in which they are listed. */
+    /** The names of the built-in scenarios, in the order in which they are listed. */
     static final List<String> NAMES = List.of(
             "calm",
             "restart-70",
@@ -33,7 +33,7 @@
 
     private BuiltInScenarios() {}
 
-    /** The text of a built-in scenario, or of a file. */
+    /** Returns the text of a built-in scenario, or of a scenario file if there is no built-in one of that name. */
     static String text(String nameOrFile) throws IOException {
         if (NAMES.contains(nameOrFile)) {
             try (InputStream in = BuiltInScenarios.class.getResourceAsStream("/scenarios/" + nameOrFile + ".toml")) {
--- a/lab/src/main/java/gorsestack/lab/cli/CheckCommand.java
+++ b/lab/src/main/java/gorsestack/lab/cli/CheckCommand.java
@@ -6,11 +6,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Validates a scenario without playing it. */
+/** Validates a scenario without running it. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Says whether a scenario is good; exit code 2 if not.")
+        description = "Validates a scenario; the exit code is 2 if it is invalid.")
 public final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCENARIO")
     private String scenarioName;
--- a/lab/src/main/java/gorsestack/lab/cli/CompareCommand.java
+++ b/lab/src/main/java/gorsestack/lab/cli/CompareCommand.java
@@ -7,11 +7,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Compares two runs, or two folders of runs. */
-@Command(
-        name = "compare",
-        mixinStandardHelpOptions = true,
-        description = "Puts two runs, or two folders of runs, side by side.")
+/** Compares two runs or two folders of runs. */
+@Command(name = "compare", mixinStandardHelpOptions = true, description = "Compares two runs, or two folders of runs.")
 public final class CompareCommand implements Callable<Integer> {
     @Parameters(paramLabel = "A")
     private Path left;
@@ -19,7 +16,9 @@
     @Parameters(paramLabel = "B")
     private Path right;
 
-    @Option(names = "--all", description = "all figures, not only those that differ by more than the spread over seeds")
+    @Option(
+            names = "--all",
+            description = "shows all metrics, not only those whose ranges over the seeds do not overlap")
     private boolean allMetrics;
 
     @Override
--- a/lab/src/main/java/gorsestack/lab/cli/Deployment.java
+++ b/lab/src/main/java/gorsestack/lab/cli/Deployment.java
@@ -11,7 +11,7 @@
 import org.tomlj.Toml;
 import picocli.CommandLine.Option;
 
-/** The options of commands that start balancers: the root of the repository, and the command that starts a balancer in it. */
+/** The options of the commands that start balancers: the root of the repository, and the shell command that starts a balancer in it. */
 final class Deployment {
     private static final String DEPLOY_FILE = "deploy/balancer.toml";
     private static final Pattern JAR = Pattern.compile("-jar (\\S+)");
@@ -20,21 +20,21 @@
     @Option(
             names = "--root",
             paramLabel = "DIR",
-            description = "the repository's root, with deploy/balancer.toml; by default found")
+            description = "the root of the repository, which contains deploy/balancer.toml; searched for by default")
     private Path root;
 
     @Option(
             names = "--run",
             paramLabel = "COMMAND",
-            description = "what starts a balancer; by default the deploy file's run line")
+            description = "the command that starts a balancer; the run line of the deploy file by default")
     private String command;
 
-    /** The root given, or the one found above the working directory or the lab's own jar. */
+    /** Returns the root from the command line, or the one found above the working directory or the lab's jar. */
     Path root() throws IOException {
         return root != null ? root.toAbsolutePath() : findRoot();
     }
 
-    /** The command given, or that of the deploy file in a root. */
+    /** Returns the start command from the command line, or the run line of the deploy file in a root. */
     String command(Path deployedRoot) throws IOException, InterruptedException {
         return command != null ? command : deployedCommand(deployedRoot);
     }
@@ -47,7 +47,8 @@
                 }
             }
         }
-        throw new IOException("no " + DEPLOY_FILE + " found; give --root");
+        throw new IOException(
+                "no " + DEPLOY_FILE + " found above the working directory or the lab's jar; specify --root");
     }
 
     private static Path aboveJar() throws IOException {
@@ -63,12 +64,12 @@
         }
     }
 
-    /** The run line of a root's deploy file; the class archive that it names is made if it is missing or older than the jar. */
+    /** Returns the run line of a root's deploy file. Creates the class archive that it names if that is missing or older than the jar. */
     static String deployedCommand(Path root) throws IOException, InterruptedException {
         Path deployFile = root.resolve(DEPLOY_FILE);
         String command = Toml.parse(deployFile).getString("run");
         if (command == null) {
-            throw new IOException(deployFile + ": no run");
+            throw new IOException(deployFile + ": the key run is missing");
         }
         Matcher jar = JAR.matcher(command);
         if (!jar.find()) {
@@ -76,7 +77,7 @@
         }
         File jarFile = root.resolve(jar.group(1)).toFile();
         if (!jarFile.exists()) {
-            throw new IOException(jarFile + " is missing: build it by mvn -q -DskipTests package");
+            throw new IOException(jarFile + " does not exist; build it with mvn -q -DskipTests package");
         }
         Matcher archive = CLASS_ARCHIVE.matcher(command);
         if (archive.find() && root.resolve(archive.group(1)).toFile().lastModified() < jarFile.lastModified()) {
@@ -85,7 +86,7 @@
         return command;
     }
 
-    /** Does what the build line of the deploy file does. */
+    /** Creates a class archive with the same options as the build line of the deploy file, and waits until it is written. */
     private static void createClassArchive(Path root, String jar, String archive)
             throws IOException, InterruptedException {
         new ProcessBuilder(
--- a/lab/src/main/java/gorsestack/lab/cli/LabVersion.java
+++ b/lab/src/main/java/gorsestack/lab/cli/LabVersion.java
@@ -6,7 +6,7 @@
 import java.util.Properties;
 import picocli.CommandLine.IVersionProvider;
 
-/** The version of the lab, which is that of the balancer it was built with. */
+/** Provides the version of the lab, which is also the version of the balancer that it was built with. */
 public final class LabVersion implements IVersionProvider {
     @Override
     public String[] getVersion() throws IOException {
@@ -21,7 +21,7 @@
         }
     }
 
-    /** The version of the balancer, for results. */
+    /** Returns the name and version of the balancer, which results contain. */
     static String ofBalancer() throws IOException {
         return "gorsestack " + version();
     }
--- a/lab/src/main/java/gorsestack/lab/cli/ListCommand.java
+++ b/lab/src/main/java/gorsestack/lab/cli/ListCommand.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Lists the built-in scenarios. */
-@Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the scenarios that come with the lab.")
+/** Lists the built-in scenarios with their size, duration and purpose. */
+@Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the built-in scenarios.")
 public final class ListCommand implements Callable<Integer> {
     @Override
     public Integer call() throws Exception {
--- a/lab/src/main/java/gorsestack/lab/cli/ReportCommand.java
+++ b/lab/src/main/java/gorsestack/lab/cli/ReportCommand.java
@@ -15,22 +15,22 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Verifies stored runs again from their records, and writes their results and reports anew. */
+/** Verifies stored runs again and overwrites their results and reports. Verdict and exit code are those of the worst run. */
 @Command(
         name = "report",
         mixinStandardHelpOptions = true,
-        description = "Judges stored runs once more from their records, and writes result.json and report.html anew.")
+        description = "Verifies stored runs again from their records, and overwrites result.json and report.html.")
 public final class ReportCommand implements Callable<Integer> {
     private static final int PASSED = 0;
     private static final int FAILED = 1;
 
-    @Parameters(paramLabel = "DIR", arity = "1..*", description = "a run's folder, or one with runs in it")
+    @Parameters(paramLabel = "DIR", arity = "1..*", description = "the folder of a run, or a folder that contains runs")
     private List<Path> folders;
 
     @Option(
             names = "--chart",
             paramLabel = "FILE",
-            description = "also draws the served share of all of them as one SVG")
+            description = "also writes the served fractions of all runs as one SVG chart")
     private Path chart;
 
     @Override
--- a/lab/src/main/java/gorsestack/lab/cli/ResultPrinter.java
+++ b/lab/src/main/java/gorsestack/lab/cli/ResultPrinter.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Prints the result of a run on standard output. */
+/** Prints the result of a run on standard output, for the run and report commands. */
 final class ResultPrinter {
     private ResultPrinter() {}
 
--- a/lab/src/main/java/gorsestack/lab/cli/RunCommand.java
+++ b/lab/src/main/java/gorsestack/lab/cli/RunCommand.java
@@ -16,17 +16,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Plays a scenario. The exit code is that of the worst run: a failure, then a void run. */
+/** Runs a scenario once per seed. Verdict and exit code are those of the worst run, where FAIL is worse than VOID. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
-        description = "Plays a scenario, once for each seed. The last line is the verdict:"
+        description = "Runs a scenario once for each seed. The last line is the verdict:"
                 + " PASS (exit code 0), FAIL (1) or VOID (3).")
 public final class RunCommand implements Callable<Integer> {
     private static final int PASSED = 0;
     private static final int FAILED = 1;
 
-    @Parameters(paramLabel = "SCENARIO", description = "a name that list shows, or a file")
+    @Parameters(paramLabel = "SCENARIO", description = "the name of a built-in scenario, or a file")
     private String scenarioName;
 
     @Option(
@@ -34,13 +34,13 @@
             paramLabel = "N",
             split = ",",
             defaultValue = "1",
-            description = "one or more, as 1,2,3; by default 1")
+            description = "one or more seeds, for example 1,2,3; 1 by default")
     private List<Long> seeds;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
-            description = "where results go; by default lab-results, in a folder for each run")
+            description = "the folder for the results, with one subfolder per run; lab-results by default")
     private Path output = Path.of("lab-results");
 
     @Mixin
@@ -49,7 +49,7 @@
     @Option(
             names = "--before",
             paramLabel = "DIR",
-            description = "the root of another version, built; every other balancer is of that one")
+            description = "the root of another version, already built; every second balancer runs that version")
     private Path previousRoot;
 
     @Override
@@ -60,7 +60,7 @@
         String command = deployment.command(root);
         Path previous = previousRoot == null ? null : previousRoot.toAbsolutePath();
         if (previous != null && !Deployment.deployedCommand(previous).equals(command)) {
-            throw new IOException(previous + ": its run line is not the one that is played");
+            throw new IOException(previous + ": the run line of its deploy file differs from the command of this run");
         }
         RunResult worst = null;
         for (long seed : seeds) {
@@ -76,22 +76,22 @@
         return worst.exitCode();
     }
 
-    /** The worse of two results; of two failures the first, of other results the last. */
+    /** Returns the worse of two results: of two failures or two void runs the earlier one, and of two passes the later one. */
     private static RunResult worse(RunResult earlier, RunResult later) {
         boolean replaced = earlier.exitCode() == PASSED || (later.exitCode() == FAILED && earlier.exitCode() != FAILED);
         return replaced ? later : earlier;
     }
 
-    /** Deletes the files of an earlier run, but no folder that is not one of a run. */
+    /** Deletes the folder of an earlier run; fails if the folder has other content, to protect files that are not the lab's. */
     private static void clear(Path folder) throws IOException {
         if (!Files.exists(folder)) {
             return;
         }
-        boolean folderOfRun = Files.exists(folder.resolve(RunResult.SCENARIO_FILE));
-        try (Stream<Path> walked = Files.walk(folder)) {
-            List<Path> childrenFirst = walked.sorted(Comparator.reverseOrder()).toList();
-            if (!folderOfRun && childrenFirst.size() > 1) {
-                throw new IOException(folder + " is there and not a run's; give another --out");
+        boolean isRunFolder = Files.exists(folder.resolve(RunResult.SCENARIO_FILE));
+        try (Stream<Path> paths = Files.walk(folder)) {
+            List<Path> childrenFirst = paths.sorted(Comparator.reverseOrder()).toList();
+            if (!isRunFolder && childrenFirst.size() > 1) {
+                throw new IOException(folder + " exists and is not the folder of a run; specify another --out");
             }
             for (Path path : childrenFirst) {
                 Files.delete(path);
--- a/lab/src/main/java/gorsestack/lab/cli/SoakCommand.java
+++ b/lab/src/main/java/gorsestack/lab/cli/SoakCommand.java
@@ -9,28 +9,38 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Plays random schedules of overlapping disturbances. */
+/** Runs random schedules of overlapping disturbances, one per seed, until all seeds have run or the time is up. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
-        description =
-                "Plays random troubles that overlap, one schedule a seed, and"
-                        + " shrinks what fails. Exit code 0 where all pass, 1 where one fails, 3 where none fails and the machine was too busy for one.")
+        description = "Runs random schedules of overlapping disturbances, one per seed, and"
+                + " shrinks each schedule that fails. The exit code is 0 if all pass, 1 if one fails,"
+                + " and 3 if none fails but the machine was too busy for one.")
 public final class SoakCommand implements Callable<Integer> {
     private static final int MIN_BALANCERS = 2;
     private static final int MAX_BALANCERS = 40;
     private static final String RANGE_SEPARATOR = "..";
 
-    @Option(names = "--seeds", paramLabel = "A..B", defaultValue = "1..3", description = "one or a range, as 1..20")
+    @Option(
+            names = "--seeds",
+            paramLabel = "A..B",
+            defaultValue = "1..3",
+            description = "a seed or a range of seeds, for example 1..20")
     private String seeds;
 
-    @Option(names = "--minutes", paramLabel = "M", description = "no further seed is begun after so long")
+    @Option(
+            names = "--minutes",
+            paramLabel = "M",
+            description = "the time in minutes after which no further seed is started")
     private double minutes = 1e6;
 
-    @Option(names = "--balancers", paramLabel = "N", description = "processes, 2 to 40; by default 10")
+    @Option(
+            names = "--balancers",
+            paramLabel = "N",
+            description = "the number of balancer processes, 2 to 40; 10 by default")
     private int balancers = 10;
 
-    @Option(names = "--out", paramLabel = "DIR", description = "where runs are kept; by default lab-results/soak")
+    @Option(names = "--out", paramLabel = "DIR", description = "the folder for the runs; lab-results/soak by default")
     private Path output = Path.of("lab-results", "soak");
 
     @Mixin
@@ -39,7 +49,7 @@
     @Override
     public Integer call() throws Exception {
         if (!seeds.matches("\\d{1,9}(\\.\\.\\d{1,9})?")) {
-            throw new IOException("--seeds must be a number or a range, as 1..20, not " + seeds);
+            throw new IOException("--seeds must be a number or a range, for example 1..20, not " + seeds);
         }
         if (balancers < MIN_BALANCERS || balancers > MAX_BALANCERS) {
             throw new IOException(
--- a/lab/src/main/java/gorsestack/lab/cli/package-info.java
+++ b/lab/src/main/java/gorsestack/lab/cli/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The commands of the lab, one class each.
+ * The commands of the lab, with one class per command, and the options that they share.
  */
 package gorsestack.lab.cli;
--- a/lab/src/main/java/gorsestack/lab/package-info.java
+++ b/lab/src/main/java/gorsestack/lab/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Starts many processes of the balancer, puts stand-ins around them and faults between them, and verifies what clients and upstreams
- * observed. {@link gorsestack.lab.Main} is the command line; docs/lab.md describes its use and docs/lab-design.md its structure.
+ * A test lab that starts many balancer processes with stand-ins for their environment, injects faults, and verifies what clients and
+ * upstreams observed. {@link gorsestack.lab.Main} is the command line; docs/lab.md describes its use and docs/lab-design.md its structure.
  */
 package gorsestack.lab;
--- a/lab/src/main/java/gorsestack/lab/report/Charts.java
+++ b/lab/src/main/java/gorsestack/lab/report/Charts.java
@@ -34,56 +34,58 @@
 import org.jfree.data.xy.XYSeriesCollection;
 import org.jfree.svg.SVGGraphics2D;
 
-/** Charts of a run over time, as SVG. */
+/** Draws charts of a run over time as SVG, for {@link HtmlReport} and the report command; called on the thread of the command. */
 public final class Charts {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 260;
-    private static final Color GRID = new Color(220, 220, 220);
-    private static final Color FAULT = new Color(255, 200, 160);
+    private static final Color GRID_COLOR = new Color(220, 220, 220);
+    private static final Color FAULT_COLOR = new Color(255, 200, 160);
     private static final float FAULT_OPACITY = 0.6f;
-    /** A fault without a duration is drawn as wide as one of so many nanoseconds, to be visible. */
+    /** The minimum width of a fault in a chart, in nanoseconds, which keeps faults without a duration visible. */
     private static final long MIN_FAULT_WIDTH = RunMetrics.SECOND / 5;
-    /** The upper end of the axis of fractions, which leaves a line at 1 visible. */
+    /** The upper end of an axis of fractions; it is above 1 to keep a line at 1 visible. */
     private static final double FRACTION_AXIS_END = 1.02;
 
-    /** For charts whose axis ends where the data does. */
-    private static final double AUTOMATIC = 0;
+    /** The axis end that stands for the end of the data. */
+    private static final double AUTOMATIC_AXIS_END = 0;
 
     private Charts() {}
 
-    /** The charts of a run by their titles. */
+    /** Returns the charts of a run by their titles, in the order of the report. */
     static Map<String, String> of(Scenario scenario, Records records) {
         Map<Long, List<Call>> calls = Calls.bySecond(new RunMetrics(scenario, records, 0).calls());
         List<InjectedFault> faults = records.injectedFaults;
         Map<String, String> charts = new LinkedHashMap<>();
-        charts.put("Served share, by zone", svg("share", served(calls, scenario), faults, FRACTION_AXIS_END));
-        charts.put("Calls by how they ended", svg("calls a second", outcomes(calls), faults, AUTOMATIC));
-        charts.put("Time to the answer of calls served", svg("ms", latency(calls), faults, AUTOMATIC));
-        charts.put("Connections at upstreams, and opened", svg("connections", connections(records), faults, AUTOMATIC));
+        charts.put("Served fraction by zone", svg("share", served(calls, scenario), faults, FRACTION_AXIS_END));
+        charts.put("Calls by outcome", svg("calls per second", outcomes(calls), faults, AUTOMATIC_AXIS_END));
+        charts.put("Latency of served calls", svg("ms", latency(calls), faults, AUTOMATIC_AXIS_END));
         charts.put(
-                "Calls for the list",
+                "Upstream connections, open and newly opened",
+                svg("connections", connections(records), faults, AUTOMATIC_AXIS_END));
+        charts.put(
+                "Requests for the endpoint list",
                 svg(
-                        "a second",
+                        "per second",
                         rate(
                                 "list calls",
                                 records.listCalls.stream().map(ListCall::at).toList()),
                         faults,
-                        AUTOMATIC));
+                        AUTOMATIC_AXIS_END));
         charts.put(
                 "Attempts",
                 svg(
-                        "a second",
+                        "per second",
                         rate(
                                 "attempts",
                                 records.upstreamAttempts.stream()
                                         .map(UpstreamAttempt::startedAt)
                                         .toList()),
                         faults,
-                        AUTOMATIC));
+                        AUTOMATIC_AXIS_END));
         return charts;
     }
 
-    /** Writes one chart of the served fraction of several stored runs. */
+    /** Writes a chart that compares the served fractions of several stored runs. */
     public static void writeServedChart(List<Path> runs, Path file) throws IOException, InvalidScenarioException {
         XYSeriesCollection data = new XYSeriesCollection();
         List<InjectedFault> faults = new ArrayList<>();
@@ -101,13 +103,13 @@
             }
         }
         List<InjectedFault> firstFault = faults.subList(0, Math.min(1, faults.size()));
-        Files.writeString(file, svg("served share", data, firstFault, FRACTION_AXIS_END) + "\n");
+        Files.writeString(file, svg("served fraction", data, firstFault, FRACTION_AXIS_END) + "\n");
     }
 
-    /** A value of each second's calls, drawn at the middle of the second. */
+    /** Returns a series with one value per second, computed from the calls of the second and drawn at its middle. */
     private static XYSeries series(String name, Map<Long, List<Call>> calls, ToDoubleFunction<List<Call>> value) {
         XYSeries series = new XYSeries(name);
-        calls.forEach((second, some) -> series.add(second + 0.5, value.applyAsDouble(some)));
+        calls.forEach((second, callsInSecond) -> series.add(second + 0.5, value.applyAsDouble(callsInSecond)));
         return series;
     }
 
@@ -116,9 +118,10 @@
         data.addSeries(series("all", calls, Calls::servedFraction));
         for (String zone : scenario.zones().stream().sorted().toList()) {
             Map<Long, List<Call>> ofZone = new TreeMap<>();
-            calls.forEach((second, some) -> {
-                List<Call> zoneCalls =
-                        some.stream().filter(call -> call.zone().equals(zone)).toList();
+            calls.forEach((second, callsInSecond) -> {
+                List<Call> zoneCalls = callsInSecond.stream()
+                        .filter(call -> call.zone().equals(zone))
+                        .toList();
                 if (!zoneCalls.isEmpty()) {
                     ofZone.put(second, zoneCalls);
                 }
@@ -134,7 +137,7 @@
             data.addSeries(series(
                     outcome.label(),
                     calls,
-                    some -> some.stream()
+                    callsInSecond -> callsInSecond.stream()
                             .filter(call -> call.outcome() == outcome)
                             .count()));
         }
@@ -144,8 +147,10 @@
     private static XYSeriesCollection latency(Map<Long, List<Call>> calls) {
         XYSeriesCollection data = new XYSeriesCollection();
         for (int percentile : new int[] {50, 99}) {
-            data.addSeries(
-                    series(percentile + "th percentile", calls, some -> Calls.latencyPercentileMs(some, percentile)));
+            data.addSeries(series(
+                    percentile + "th percentile",
+                    calls,
+                    callsInSecond -> Calls.latencyPercentileMs(callsInSecond, percentile)));
         }
         return data;
     }
@@ -162,10 +167,10 @@
         return data;
     }
 
-    /** The number of events in each second from 0 to the last that has one. */
+    /** Returns the number of events in each second from 0 to the last second with an event. */
     private static XYSeriesCollection rate(String name, List<Long> times) {
         TreeMap<Long, Integer> counts = new TreeMap<>();
-        times.forEach(at -> counts.merge(Math.floorDiv(at, RunMetrics.SECOND), 1, Integer::sum));
+        times.forEach(time -> counts.merge(Math.floorDiv(time, RunMetrics.SECOND), 1, Integer::sum));
         XYSeries series = new XYSeries(name);
         if (!counts.isEmpty()) {
             for (long second = 0; second <= counts.lastKey(); second++) {
@@ -181,7 +186,7 @@
         chart.setBackgroundPaint(Color.WHITE);
         XYPlot plot = chart.getXYPlot();
         faults.forEach(fault -> plot.addDomainMarker(marker(fault), Layer.BACKGROUND));
-        if (axisEnd != AUTOMATIC) {
+        if (axisEnd != AUTOMATIC_AXIS_END) {
             plot.getRangeAxis().setRange(0, axisEnd);
         }
         SVGGraphics2D graphics = new SVGGraphics2D(WIDTH, HEIGHT);
@@ -195,13 +200,14 @@
         theme.setLargeFont(new Font("SansSerif", Font.PLAIN, 11));
         theme.setRegularFont(new Font("SansSerif", Font.PLAIN, 10));
         theme.setPlotBackgroundPaint(Color.WHITE);
-        theme.setDomainGridlinePaint(GRID);
-        theme.setRangeGridlinePaint(GRID);
+        theme.setDomainGridlinePaint(GRID_COLOR);
+        theme.setRangeGridlinePaint(GRID_COLOR);
         return theme;
     }
 
     private static IntervalMarker marker(InjectedFault fault) {
         double until = Math.max(fault.until(), fault.from() + MIN_FAULT_WIDTH) / 1e9;
-        return new IntervalMarker(fault.from() / 1e9, until, FAULT, new BasicStroke(1f), null, null, FAULT_OPACITY);
+        return new IntervalMarker(
+                fault.from() / 1e9, until, FAULT_COLOR, new BasicStroke(1f), null, null, FAULT_OPACITY);
     }
 }
--- a/lab/src/main/java/gorsestack/lab/report/HtmlReport.java
+++ b/lab/src/main/java/gorsestack/lab/report/HtmlReport.java
@@ -8,12 +8,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** The report of a run: one HTML page with its charts inlined, which opens without a network. */
+/** Writes the report of a run as a single HTML page with inlined charts, which can be opened without a network. */
 public final class HtmlReport {
-    /** The file of the report in the folder of its run. */
+    /** The name of the report file in the folder of its run. */
     public static final String FILE = "report.html";
 
+    /** The length after which the list of a fault's targets is truncated, in characters. */
     private static final int MAX_CELL_LENGTH = 300;
+
     private static final String STYLE =
             "body{font:14px sans-serif;max-width:960px;margin:2em auto;padding:0 1em;color:#222}"
                     + "table{border-collapse:collapse;margin:1em 0}td,th{border:1px solid #ccc;padding:3px 8px;text-align:left}"
@@ -23,7 +25,7 @@
 
     private HtmlReport() {}
 
-    /** Writes the report into the folder of its run. */
+    /** Writes the report to the folder of its run. */
     public static void write(Path folder, Scenario scenario, Records records, RunResult result) throws IOException {
         HtmlReport report = new HtmlReport();
         report.addHeader(result);
--- a/lab/src/main/java/gorsestack/lab/report/RunComparison.java
+++ b/lab/src/main/java/gorsestack/lab/report/RunComparison.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** Compares two runs, or two folders of runs: the mean and the range of each metric over the seeds. */
+/** Compares two runs or two folders of runs by the mean and the range of each metric over the seeds, for the compare command. */
 public final class RunComparison {
-    /** The values of a metric over several runs. */
+    /** The mean and the range of a metric over several runs. */
     private record Summary(double mean, double min, double max) {
         static Summary of(List<RunResult> results, String metric) {
             double sum = 0;
@@ -33,18 +33,18 @@
 
     private RunComparison() {}
 
-    /** The folder itself if it is that of a run, otherwise the folders of runs directly below it. */
+    /** Returns the folder itself if it holds a run, otherwise the folders of runs directly below it. */
     public static List<Path> runs(Path folder) throws IOException {
         if (isRun(folder)) {
             return List.of(folder);
         }
         if (!Files.isDirectory(folder)) {
-            throw new IOException(folder + " is no folder of a run");
+            throw new IOException(folder + " is not a folder");
         }
-        try (Stream<Path> below = Files.list(folder)) {
-            List<Path> found = below.filter(RunComparison::isRun).sorted().toList();
+        try (Stream<Path> children = Files.list(folder)) {
+            List<Path> found = children.filter(RunComparison::isRun).sorted().toList();
             if (found.isEmpty()) {
-                throw new IOException(folder + " has no run in it: no result.json there or one level below");
+                throw new IOException(folder + " contains no run: no result.json in it or one level below");
             }
             return found;
         }
@@ -54,7 +54,9 @@
         return Files.exists(folder.resolve(RunResult.FILE));
     }
 
-    /** A table for each scenario that was played in both; unless all metrics are asked for, only those whose ranges are disjoint. */
+    /**
+     * Returns a table for each scenario that both folders have runs of. It shows all metrics, or only those whose ranges are disjoint.
+     */
     public static String table(Path leftFolder, Path rightFolder, boolean allMetrics) throws IOException {
         List<RunResult> left = results(leftFolder);
         List<RunResult> right = results(rightFolder);
@@ -62,13 +64,13 @@
                 new LinkedHashSet<>(left.stream().map(RunResult::scenario).toList());
         scenarios.retainAll(right.stream().map(RunResult::scenario).toList());
         if (scenarios.isEmpty()) {
-            throw new IOException("no scenario was played in both");
+            throw new IOException("the two folders have no scenario in common");
         }
         StringBuilder table = new StringBuilder();
         for (String scenario : scenarios) {
             appendScenario(table, scenario, ofScenario(left, scenario), ofScenario(right, scenario), allMetrics);
         }
-        return table.append("mean [least most] over the seeds; * marks figures whose spreads do not meet")
+        return table.append("mean [min max] over the seeds; * marks metrics whose ranges do not overlap")
                 .toString();
     }
 
--- a/lab/src/main/java/gorsestack/lab/report/RunResult.java
+++ b/lab/src/main/java/gorsestack/lab/report/RunResult.java
@@ -21,8 +21,8 @@
 import java.util.Set;
 
 /**
- * The result of a run, as stored in result.json; docs/lab.md describes its keys. It is computed from the records and the context of the run
- * alone, so that a stored run can be verified again.
+ * The result of a run, as stored in result.json; docs/lab.md describes its keys. It depends only on the records and the context of the
+ * run, so that a stored run can be verified again.
  */
 public record RunResult(
         int schema,
@@ -40,7 +40,7 @@
         List<InvariantResult> invariants,
         List<InjectedFault> faults) {
 
-    /** An invariant, the value of its metric, and whether it holds. */
+    /** The result of one invariant: the actual value of its metric, and whether the invariant holds. */
     public record InvariantResult(
             @JsonProperty("figure") String metric,
             @JsonProperty("over") String period,
@@ -64,32 +64,32 @@
         }
     }
 
-    /** The version of the keys of result.json. */
+    /** The version of the format of result.json. */
     public static final int SCHEMA = 1;
 
-    /** The verdict of a run in which all rules and invariants held. */
+    /** The verdict of a run without violations of rules or invariants. */
     public static final String PASS = "PASS";
-    /** The verdict of a run in which a rule or an invariant was violated, or a balancer crashed. */
+    /** The verdict of a run in which a rule or an invariant was violated, a balancer crashed, or the balancers did not start. */
     public static final String FAIL = "FAIL";
-    /** The verdict of a run that proves nothing. */
+    /** The verdict of an inconclusive run. */
     public static final String VOID = "VOID";
 
-    /** The file of a result in the folder of its run. */
+    /** The name of the result file in the folder of its run. */
     public static final String FILE = "result.json";
 
-    /** The file of the scenario in the folder of a run. */
+    /** The name of the scenario file in the folder of a run. */
     public static final String SCENARIO_FILE = "scenario.toml";
 
-    /** The file of the records in the folder of a run. */
+    /** The name of the file of records in the folder of a run. */
     public static final String RECORDS_FILE = "records.jsonl.zst";
 
-    /** A 99th percentile of the delay of the lab's own event loop above this makes its observations worthless. */
+    /** The highest 99th percentile of the delay of the lab's event loop, in microseconds, at which its observations are still valid. */
     private static final long MAX_LOOP_DELAY_P99_US = 5_000;
 
     private static final int MAX_LISTED_VIOLATIONS = 20;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Metrics without a value for each period, besides those whose name ends with steady. */
+    /** The metrics that are computed for the whole run only, in addition to those whose names end with steady. */
     private static final Set<String> RUN_METRICS = Set.of(
             "time_to_full_s",
             "regained",
@@ -153,17 +153,19 @@
         return metrics;
     }
 
+    /** Returns why the records are inconclusive, or null if they are not. */
     private static String voidReason(Records records) {
         if (records.loopDelays.isEmpty()) {
-            return "the lab kept no record of its own delay";
+            return "the records contain no delay of the lab's event loop";
         }
         long p99 = records.loopDelays.get(0).p99();
         return p99 > MAX_LOOP_DELAY_P99_US
-                ? "the machine was too busy: the lab's own delay has its 99th percentile at " + p99 / 1000.0
-                        + " ms, over " + MAX_LOOP_DELAY_P99_US / 1000.0
+                ? "the machine was too busy: the 99th percentile of the lab's event loop delay was " + p99 / 1000.0
+                        + " ms, above the limit of " + MAX_LOOP_DELAY_P99_US / 1000.0
                 : null;
     }
 
+    /** Returns the first reason for which a run failed, or null if it did not fail. */
     private static String failure(
             List<Violation> violations,
             Map<String, Integer> violationCounts,
@@ -188,12 +190,12 @@
         return Math.round(value * 1e5) / 1e5;
     }
 
-    /** The verdict line: the verdict, and its reason unless it is PASS. */
+    /** Returns the verdict line: the verdict, followed by the reason unless it is PASS. */
     public String line() {
         return verdict.equals(PASS) ? PASS : verdict + ": " + reason;
     }
 
-    /** The exit code for the verdict. */
+    /** Returns the exit code of the lab for the verdict. */
     public int exitCode() {
         return switch (verdict) {
             case PASS -> 0;
@@ -202,7 +204,7 @@
         };
     }
 
-    /** Writes the result into the folder of its run. */
+    /** Writes the result to the folder of its run. */
     public void write(Path folder) throws IOException {
         Files.writeString(
                 folder.resolve(FILE), JSON.writerWithDefaultPrettyPrinter().writeValueAsString(this) + "\n");
@@ -213,7 +215,7 @@
         return JSON.readValue(folder.resolve(FILE).toFile(), RunResult.class);
     }
 
-    /** Verifies a stored run again. */
+    /** Verifies a stored run again and returns the new result; the stored one remains unchanged. */
     public static RunResult reverify(Path folder) throws IOException, InvalidScenarioException {
         RunResult stored = read(folder);
         Path scenarioFile = folder.resolve(SCENARIO_FILE);
--- a/lab/src/main/java/gorsestack/lab/report/package-info.java
+++ b/lab/src/main/java/gorsestack/lab/report/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What remains of a run: its result, its report with charts, and comparisons of results.
+ * Stores the results of runs, and draws reports, charts and comparisons from them.
  */
 package gorsestack.lab.report;
