--- a/lab/src/test/java/gorsestack/lab/LabTest.java
+++ b/lab/src/test/java/gorsestack/lab/LabTest.java
@@ -25,9 +25,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Complete runs, with the real balancer and with a test double that violates rules. */
+/**
+ * Tests complete runs, with the real balancer and with a test double that violates rules. Guards against a lab that gives the wrong
+ * verdict, for example because a rule does not detect its violations.
+ */
 class LabTest {
-    /** How often a run that is void, because the machine was too busy, is repeated before the test is reported as skipped. */
+    /** How many runs a test starts at most until one is not void; if the machine is too busy for all, the test is reported as skipped. */
     private static final int MAX_RUNS = 3;
 
     private static final Path ROOT = Path.of("").toAbsolutePath();
@@ -39,17 +42,17 @@
         return Path.of(System.getProperty("java.home"), "bin", "java").toString();
     }
 
-    private static String ruleBreaking(String mode) {
+    private static String ruleBreakingCommand(String mode) {
         return "exec " + java() + " -Xrs -Xmx32m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -cp "
                 + System.getProperty("java.class.path") + " gorsestack.lab.RuleBreakingBalancer " + mode;
     }
 
-    private static String program() {
+    private static String balancerCommand() {
         return "exec " + java()
                 + " -Xmx36m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -jar balancer/target/gorsestack.jar serve";
     }
 
-    private RunResult play(String text, String run) throws Exception {
+    private RunResult runScenario(String text, String command) throws Exception {
         PrintStream discarded = new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
         RunResult result = null;
         for (int i = 0; i < MAX_RUNS && (result == null || result.verdict().equals("VOID")); i++) {
@@ -58,7 +61,7 @@
                             text,
                             1,
                             ROOT,
-                            run,
+                            command,
                             null,
                             "test",
                             folder.resolve("run"),
@@ -99,8 +102,8 @@
 
     @ParameterizedTest
     @CsvSource({"ok,", "twice,lost", "silent,lost", "wrong,lost", "repeat,dup", "drain,drain"})
-    void aViolationIsFoundByItsRule(String mode, String rule) throws Exception {
-        RunResult result = play(SMALL, ruleBreaking(mode));
+    void runFailsWithRuleThatBalancerViolates(String mode, String rule) throws Exception {
+        RunResult result = runScenario(SMALL, ruleBreakingCommand(mode));
         if (rule == null) {
             assertEquals("PASS", result.line(), result.firstViolations().toString());
             assertTrue(result.metrics().get("served") > 0.9);
@@ -114,59 +117,61 @@
     }
 
     @Test
-    void overloadingAnUpstreamInSlowStartIsFound() throws Exception {
-        // All calls go to the first endpoint, which restarts with a slow start.
+    void overloadOfUpstreamInSlowStartIsDetected() throws Exception {
+        // The balancer sends all calls to the first endpoint, which restarts and is then in slow start.
         String overloading = SMALL.replace("slots = 3", "slots = 1\nqueue = 500")
                 .replace("kind = \"replace\"", "kind = \"crash\"\nrestart_after = 0.2");
-        RunResult result = play(overloading, ruleBreaking("topple"));
+        RunResult result = runScenario(overloading, ruleBreakingCommand("topple"));
         assertTrue(result.violationCounts().containsKey("cold"), result.violationCounts() + " " + result.line());
-        RunResult compliant = play(
+        RunResult compliant = runScenario(
                 SMALL.replace("kind = \"replace\"", "kind = \"crash\"\nrestart_after = 0.2")
                         .replace("rate = 60", "rate = 10"),
-                ruleBreaking("ok"));
+                ruleBreakingCommand("ok"));
         assertFalse(
                 compliant.violationCounts().containsKey("cold"),
                 compliant.firstViolations().toString());
     }
 
-    /** A process that does not end is killed in the end, and the run records that. */
+    /** Guards against a balancer that stays running because it ignores SIGTERM, and against a run that passes nevertheless. */
     @Test
-    void aProcessThatIgnoresSigtermIsKilledAndRecorded() throws Exception {
-        String brief = SMALL.replace("seconds = 5", "seconds = 2").replaceAll("(?s)\\[\\[faults.*", "");
-        RunResult result = play(
-                brief + "[[invariants]]\nfigure = \"killed_after_term\"\nat_most = 0\n",
-                "trap '' TERM; " + ruleBreaking("ok"));
+    void processThatIgnoresSigtermIsKilledAndFailsInvariant() throws Exception {
+        String shortScenario = SMALL.replace("seconds = 5", "seconds = 2").replaceAll("(?s)\\[\\[faults.*", "");
+        RunResult result = runScenario(
+                shortScenario + "[[invariants]]\nfigure = \"killed_after_term\"\nat_most = 0\n",
+                "trap '' TERM; " + ruleBreakingCommand("ok"));
         assertEquals("FAIL: killed_after_term, 1.0, wanted at most 0.0", result.line());
         assertEquals(
                 "PASS",
-                play(brief + "[[invariants]]\nfigure = \"killed_after_term\"\nat_most = 0\n", ruleBreaking("ok"))
+                runScenario(
+                                shortScenario + "[[invariants]]\nfigure = \"killed_after_term\"\nat_most = 0\n",
+                                ruleBreakingCommand("ok"))
                         .line());
     }
 
     @Test
-    void aBalancerThatDoesNotStartFailsTheRun() throws Exception {
-        RunResult result = play(SMALL.replace("balancers = 1", "balancers = 1\nready_within = 2"), "exit 1");
+    void runFailsIfBalancerDoesNotStart() throws Exception {
+        RunResult result = runScenario(SMALL.replace("balancers = 1", "balancers = 1\nready_within = 2"), "exit 1");
         assertEquals("FAIL: start: 0 of 1 balancers ready after 2.0 s, wanted all", result.line());
     }
 
     private static List<ProcessHandle> balancers(ProcessHandle lab) {
         return lab.descendants()
-                .filter(p -> p.info().commandLine().orElse("").contains("RuleBreakingBalancer")
-                        && !p.info().commandLine().orElse("").startsWith("/bin/sh"))
+                .filter(process -> process.info().commandLine().orElse("").contains("RuleBreakingBalancer")
+                        && !process.info().commandLine().orElse("").startsWith("/bin/sh"))
                 .toList();
     }
 
     private static void await(String description, BooleanSupplier condition) throws InterruptedException {
         long deadline = System.nanoTime() + 20_000_000_000L;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < deadline, "in 20 s: " + description);
+            assertTrue(System.nanoTime() < deadline, "not reached within 20 s: " + description);
             Thread.sleep(20);
         }
     }
 
-    /** Processes left behind would load the machine and occupy addresses. */
+    /** Guards against balancers that outlive a killed lab; they would load the machine and occupy the addresses of the next lab. */
     @Test
-    void balancersEndWithALabThatIsKilledAndTheNextLabStartsAtOnce() throws Exception {
+    void balancersTerminateWhenLabIsKilledAndNextLabStartsImmediately() throws Exception {
         Path scenario = folder.resolve("s.toml");
         Files.writeString(
                 scenario, SMALL.replace("seconds = 5", "seconds = 60").replace("balancers = 1", "balancers = 3"));
@@ -184,19 +189,23 @@
                                 "--out",
                                 folder.resolve("out" + i).toString(),
                                 "--run",
-                                ruleBreaking("ok"))
+                                ruleBreakingCommand("ok"))
                         .redirectErrorStream(true)
                         .redirectOutput(folder.resolve("lab" + i).toFile())
                         .start();
                 labs.add(lab);
-                await("three balancers", () -> balancers(lab.toHandle()).size() == 3);
+                await(
+                        "three balancers are running",
+                        () -> balancers(lab.toHandle()).size() == 3);
                 if (i == 0) {
                     await("load", () -> text(folder.resolve("lab0")).contains("ready after"));
                 }
                 killed.addAll(balancers(lab.toHandle()));
                 lab.destroyForcibly();
             }
-            await("all have ended", () -> killed.stream().noneMatch(ProcessHandle::isAlive));
+            await(
+                    "all balancers of killed labs have terminated",
+                    () -> killed.stream().noneMatch(ProcessHandle::isAlive));
         } finally {
             labs.forEach(Process::destroyForcibly);
         }
@@ -210,22 +219,22 @@
         }
     }
 
-    /** The subset of scenarios that is part of the build. */
+    /** Runs the short scenarios that are part of the build. */
     @ParameterizedTest
     @ValueSource(strings = {"smoke", "restart", "return", "cut"})
-    void theBalancerPasses(String scenario) throws Exception {
+    void balancerPassesScenario(String scenario) throws Exception {
         String text = new String(
                 LabTest.class
                         .getResourceAsStream("/scenarios/" + scenario + ".toml")
                         .readAllBytes(),
                 StandardCharsets.UTF_8);
-        RunResult result = play(text, program());
+        RunResult result = runScenario(text, balancerCommand());
         assertEquals("PASS", result.line(), result.firstViolations() + " " + result.invariants());
     }
 
     @Test
-    void storedRunsAreVerifiedAgainWithTheSameResultAndCompared() throws Exception {
-        RunResult result = play(SMALL.replaceAll("(?s)\\[\\[faults.*", ""), ruleBreaking("twice"));
+    void storedRunYieldsSameResultWhenVerifiedAgainAndCompared() throws Exception {
+        RunResult result = runScenario(SMALL.replaceAll("(?s)\\[\\[faults.*", ""), ruleBreakingCommand("twice"));
         Path run = folder.resolve("run");
         RunResult reverified = RunResult.reverify(run);
         assertEquals(result.line(), reverified.line());
@@ -233,26 +242,26 @@
         String page = Files.readString(run.resolve("report.html"));
         assertTrue(
                 page.contains("<svg") && page.contains("Rules broken") && !page.contains("http://127"),
-                "charts inside");
-        assertFalse(page.matches("(?s).*(src|href)=\"https?:.*"), "opens without a network");
+                "the page contains charts and violations, and no local address");
+        assertFalse(page.matches("(?s).*(src|href)=\"https?:.*"), "the page refers to no resource on a network");
         assertTrue(RunComparison.table(run, run, true).contains("served_worst_second"));
         assertEquals(
                 Optional.empty(),
                 RunComparison.table(run, run, false)
                         .lines()
-                        .filter(l -> l.endsWith("*"))
+                        .filter(tableLine -> tableLine.endsWith("*"))
                         .findFirst());
     }
 
     @Test
-    void invalidInputIsReportedInOneLineWithExitCodeTwo() throws Exception {
+    void invalidInputYieldsOneErrorLineAndExitCodeTwo() throws Exception {
         PrintStream standardError = System.err;
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
-        Path bad = folder.resolve("bad.toml");
-        Files.writeString(bad, SMALL.replace("slots = 3", "slots = 3\nslotz = 4"));
+        Path invalid = folder.resolve("bad.toml");
+        Files.writeString(invalid, SMALL.replace("slots = 3", "slots = 3\nslotz = 4"));
         System.setErr(new PrintStream(errors, true, StandardCharsets.UTF_8));
         try {
-            assertEquals(2, Main.run("check", bad.toString()));
+            assertEquals(2, Main.run("check", invalid.toString()));
             assertEquals(2, Main.run("run", "no-such-scenario"));
             assertEquals(2, Main.run("compare", folder.toString(), folder.toString()));
             assertEquals(2, Main.run("report", folder.resolve("none").toString()));
--- a/lab/src/test/java/gorsestack/lab/RuleBreakingBalancer.java
+++ b/lab/src/test/java/gorsestack/lab/RuleBreakingBalancer.java
@@ -15,7 +15,10 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A test double: a balancer that forwards round robin, and violates the rule that its argument names. */
+/**
+ * A test double for the balancer. It forwards requests round robin, and violates one rule in the way that its argument selects. Tests
+ * start it as a separate process, which serves each client connection on its own thread.
+ */
 public final class RuleBreakingBalancer {
     private final String mode;
     private final List<String> upstreams = new ArrayList<>();
@@ -50,7 +53,7 @@
         return new Socket(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
-    /** Watches the endpoint list; in modes that keep the rules, changes are applied. */
+    /** Watches the endpoint list and applies its changes, except in the modes that violate a rule by ignoring them. */
     private void watch(String discovery) {
         try (Socket socket = open(discovery)) {
             socket.getOutputStream()
@@ -71,15 +74,15 @@
                 }
             }
         } catch (IOException e) {
-            // the run has ended
+            // The connection to discovery ends with the run.
         }
     }
 
-    private record Message(String start, String id, String key, String body, boolean end) {}
+    private record Message(String startLine, String id, String key, String body, boolean endOfStream) {}
 
     private static Message read(BufferedReader in) throws IOException {
-        String start = in.readLine();
-        if (start == null) {
+        String startLine = in.readLine();
+        if (startLine == null) {
             return new Message("", "", "", "", true);
         }
         int length = 0;
@@ -95,10 +98,10 @@
             }
         }
         char[] body = new char[length];
-        for (int n = 0; n < length; ) {
-            n += in.read(body, n, length - n);
+        for (int count = 0; count < length; ) {
+            count += in.read(body, count, length - count);
         }
-        return new Message(start, id, key, new String(body), false);
+        return new Message(startLine, id, key, new String(body), false);
     }
 
     private void serve(Socket client) {
@@ -106,8 +109,8 @@
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.ISO_8859_1));
             OutputStream out = client.getOutputStream();
-            for (Message request = read(in); !request.end(); request = read(in)) {
-                if (request.start().contains("/_health")) {
+            for (Message request = read(in); !request.endOfStream(); request = read(in)) {
+                if (request.startLine().contains("/_health")) {
                     out.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
                     continue;
                 }
@@ -116,7 +119,7 @@
                 }
                 String body = forward(request);
                 if (mode.equals("repeat")
-                        && request.start().startsWith("POST")
+                        && request.startLine().startsWith("POST")
                         && request.key().isEmpty()) {
                     body = forward(request);
                 }
@@ -132,7 +135,7 @@
                 }
             }
         } catch (IOException e) {
-            // the client has disconnected
+            // The client has disconnected, so nothing is left to serve.
         }
     }
 
@@ -143,14 +146,14 @@
         }
         try (Socket socket = open(address)) {
             socket.getOutputStream()
-                    .write((request.start() + "\r\nX-Correlation-Id: " + request.id() + "\r\n"
+                    .write((request.startLine() + "\r\nX-Correlation-Id: " + request.id() + "\r\n"
                                     + (request.key().isEmpty() ? "" : "Idempotency-Key: " + request.key() + "\r\n")
                                     + "Content-Length: "
                                     + request.body().length() + "\r\n\r\n" + request.body())
                             .getBytes(StandardCharsets.ISO_8859_1));
             Message response = read(
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1)));
-            return response.start().contains(" 200 ") ? response.body() : null;
+            return response.startLine().contains(" 200 ") ? response.body() : null;
         } catch (IOException e) {
             return null;
         }
--- a/lab/src/test/java/gorsestack/lab/net/LinkTest.java
+++ b/lab/src/test/java/gorsestack/lab/net/LinkTest.java
@@ -26,17 +26,20 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The effects of link faults on real sockets on loopback. */
+/**
+ * Tests the effects of link faults on real sockets on loopback. Guards against faults that act on the wrong direction, that end too
+ * early, or that connections observe in another way than on a real network.
+ */
 class LinkTest {
-    /** The lock files of all labs of this machine; with a folder of its own the test could get the network of a running lab. */
+    /** The folder of the lock files of all labs on this machine; with another one the test could reserve a running lab's network. */
     private static final Path LOCK_FOLDER = Path.of(System.getProperty("java.io.tmpdir"));
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
     private final SplittableRandom random = new SplittableRandom(1);
 
-    @SuppressWarnings("JdkObsolete") // appended by the event loop, read by the test
-    private final StringBuffer read = new StringBuffer();
+    @SuppressWarnings("JdkObsolete") // The event loop appends to it, and the test reads it.
+    private final StringBuffer receivedText = new StringBuffer();
 
     private Addresses addresses;
     private Link link;
@@ -56,7 +59,7 @@
                     channel -> channel.pipeline().addLast(new ChannelInboundHandlerAdapter() {
                         @Override
                         public void channelRead(ChannelHandlerContext ctx, Object message) {
-                            read.append(((ByteBuf) message).toString(StandardCharsets.US_ASCII));
+                            receivedText.append(((ByteBuf) message).toString(StandardCharsets.US_ASCII));
                             ctx.writeAndFlush(message);
                         }
 
@@ -88,7 +91,7 @@
         return socket;
     }
 
-    /** Waits until connections are accepted; for some milliseconds they may be refused. */
+    /** Waits until connections are accepted; they may be refused for some milliseconds. */
     private void awaitConnectable() throws Exception {
         for (int tries = 0; ; tries++) {
             try {
@@ -101,7 +104,7 @@
         }
     }
 
-    /** Waits until connections time out; until the address is free they may still be accepted or refused. */
+    /** Waits until connections time out; they may still be accepted or refused until the address is free. */
     private void awaitUnreachable() throws Exception {
         for (int tries = 0; tries < 2000; tries++) {
             try {
@@ -112,7 +115,7 @@
                 return;
             }
         }
-        throw new AssertionError("connects still come up");
+        throw new AssertionError("connections are still accepted or refused after 2000 tries");
     }
 
     private static void send(Socket socket, String text) throws IOException {
@@ -124,7 +127,7 @@
     }
 
     @Test
-    void aDropDuringARequestDelaysTheRestUntilItsEnd() throws Exception {
+    void dropDuringRequestDelaysRemainderUntilDropEnds() throws Exception {
         try (Socket socket = connect(1000)) {
             send(socket, "half");
             assertEquals("half", receive(socket, 4));
@@ -133,7 +136,7 @@
             socket.setSoTimeout(200);
             assertThrows(SocketTimeoutException.class, () -> receive(socket, 4));
             awaitUnreachable();
-            assertEquals("half", read.toString());
+            assertEquals("half", receivedText.toString());
             onLoop(() -> link.drop(link.forward, false));
             socket.setSoTimeout(10_000);
             assertEquals("rest", receive(socket, 4));
@@ -142,17 +145,17 @@
     }
 
     @Test
-    void aDropOfTheBackwardDirectionHidesTheResponseOnly() throws Exception {
+    void dropOfBackwardDirectionWithholdsOnlyResponse() throws Exception {
         try (Socket socket = connect(1000)) {
-            // A connection that the kernel has accepted but the listener has not would end with the listener, which a
-            // drop closes; so the listener has to have accepted it first.
+            // A drop closes the listener, and with it each connection that only the kernel has accepted. The round trip
+            // ensures that the listener has accepted this connection.
             send(socket, "x");
             assertEquals("x", receive(socket, 1));
             onLoop(() -> link.drop(link.backward, true));
             send(socket, "ask");
             socket.setSoTimeout(200);
             assertThrows(SocketTimeoutException.class, () -> receive(socket, 3));
-            assertEquals("xask", read.toString(), "it has run");
+            assertEquals("xask", receivedText.toString(), "the server has received the request");
             onLoop(() -> link.drop(link.backward, false));
             socket.setSoTimeout(10_000);
             assertEquals("ask", receive(socket, 3));
@@ -160,7 +163,7 @@
     }
 
     @Test
-    void aStallAcceptsNewConnections() throws Exception {
+    void stalledLinkAcceptsConnectionsAndDelaysTheirData() throws Exception {
         onLoop(() -> {
             link.stall(link.forward, true);
             link.stall(link.backward, true);
@@ -178,9 +181,9 @@
         }
     }
 
-    /** The end of one of two overlapping faults leaves the other in force. */
+    /** Guards against a fault that ends together with another fault of the same link. */
     @Test
-    void overlappingFaultsOfALinkAreCounted() throws Exception {
+    void linkIsRestoredOnlyWhenLastOverlappingDropEnds() throws Exception {
         onLoop(() -> {
             link.drop(link.forward, true);
             link.drop(link.forward, true);
@@ -192,22 +195,23 @@
     }
 
     @Test
-    void resetsDelaysAndThrottles() throws Exception {
+    void delaysThrottlesAndResetsConnections() throws Exception {
         try (Socket socket = connect(1000)) {
             onLoop(() -> link.forward.delayMs = 150);
-            long began = System.nanoTime();
+            long startedAt = System.nanoTime();
             send(socket, "abc");
             assertEquals("abc", receive(socket, 3));
-            assertTrue(System.nanoTime() - began >= 150_000_000L, "not before its time");
+            assertTrue(
+                    System.nanoTime() - startedAt >= 150_000_000L, "the response arrived before the delay of 150 ms");
             onLoop(() -> {
                 link.forward.delayMs = 0;
                 link.backward.bytesPerSecond = 10_000;
                 link.changed();
             });
-            began = System.nanoTime();
+            startedAt = System.nanoTime();
             send(socket, "x".repeat(3000));
             receive(socket, 3000);
-            assertTrue(System.nanoTime() - began >= 290_000_000L, "3 kB at 10 kB a second");
+            assertTrue(System.nanoTime() - startedAt >= 290_000_000L, "3 kB at 10 kB per second take 0.3 s");
             onLoop(() -> link.reset());
             IOException reset = assertThrows(IOException.class, () -> {
                 receive(socket, 1);
@@ -219,7 +223,7 @@
     }
 
     @Test
-    void refusesConnectionsOnceClosed() throws Exception {
+    void listenerRefusesConnectionsUntilReopened() throws Exception {
         onLoop(() -> listener.refuse(true));
         boolean refused = false;
         for (int tries = 0; tries < 2000 && !refused; tries++) {
@@ -228,7 +232,7 @@
             } catch (java.net.ConnectException e) {
                 refused = true;
             } catch (java.net.SocketException e) {
-                // Reset by the end of the closing listener in whose backlog it was; not refused yet.
+                // The connection was in the backlog of the closing listener, which resets it instead of refusing it.
                 assertTrue(e.getMessage().contains("reset"), e.toString());
             }
         }
@@ -238,51 +242,52 @@
     }
 
     @Test
-    void reservesANetworkOfItsOwn() throws Exception {
+    void reservesDifferentNetworkForEachReservation() throws Exception {
         try (Addresses other = Addresses.reserve(LOCK_FOLDER)) {
             assertNotEquals(addresses.balancer(0), other.balancer(0));
         }
     }
 
-    /** A check of the source address by the receiver succeeds. */
+    /** Guards against relayed datagrams that a receiver discards because it checks their source address. */
     @Test
-    void datagramsComeFromTheAddressTheReceiverKnowsTheSenderUnder() throws Exception {
-        AtomicInteger counted = new AtomicInteger();
+    void relayedDatagramHasSourceAddressThatReceiverExpects() throws Exception {
+        AtomicInteger relayedDatagrams = new AtomicInteger();
         Link between = new LinkRegistry().between("n0", "n1");
         DatagramRelay[] relay = new DatagramRelay[1];
-        onLoop(() -> relay[0] = new DatagramRelay(loop, addresses, 0, 1, between, random, counted::incrementAndGet));
-        onLoop(() -> {}); // bound by then
-        try (DatagramSocket zero = new DatagramSocket(addresses.datagrams(0));
-                DatagramSocket one = new DatagramSocket(addresses.datagrams(1))) {
-            one.setSoTimeout(10_000);
-            send(zero, "hi", addresses.relay(0, 1));
-            DatagramPacket got = new DatagramPacket(new byte[10], 10);
-            one.receive(got);
-            assertEquals("hi", new String(got.getData(), 0, got.getLength(), StandardCharsets.US_ASCII));
-            assertEquals(addresses.relay(1, 0), got.getSocketAddress());
+        onLoop(() -> relay[0] =
+                new DatagramRelay(loop, addresses, 0, 1, between, random, relayedDatagrams::incrementAndGet));
+        onLoop(() -> {}); // The relay has been bound once this task has run.
+        try (DatagramSocket firstSocket = new DatagramSocket(addresses.datagrams(0));
+                DatagramSocket secondSocket = new DatagramSocket(addresses.datagrams(1))) {
+            secondSocket.setSoTimeout(10_000);
+            send(firstSocket, "hi", addresses.relay(0, 1));
+            DatagramPacket packet = new DatagramPacket(new byte[10], 10);
+            secondSocket.receive(packet);
+            assertEquals("hi", new String(packet.getData(), 0, packet.getLength(), StandardCharsets.US_ASCII));
+            assertEquals(addresses.relay(1, 0), packet.getSocketAddress());
             onLoop(() -> between.drop(between.forward, true));
-            send(zero, "lost", addresses.relay(0, 1));
-            one.setSoTimeout(200);
-            assertThrows(SocketTimeoutException.class, () -> one.receive(got));
+            send(firstSocket, "lost", addresses.relay(0, 1));
+            secondSocket.setSoTimeout(200);
+            assertThrows(SocketTimeoutException.class, () -> secondSocket.receive(packet));
             onLoop(() -> {
                 between.drop(between.forward, false);
                 between.forward.duplicate = 1;
             });
-            send(zero, "two", addresses.relay(0, 1));
-            one.setSoTimeout(10_000);
-            List<String> all = new ArrayList<>();
+            send(firstSocket, "two", addresses.relay(0, 1));
+            secondSocket.setSoTimeout(10_000);
+            List<String> received = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
-                one.receive(got);
-                all.add(new String(got.getData(), 0, got.getLength(), StandardCharsets.US_ASCII));
+                secondSocket.receive(packet);
+                received.add(new String(packet.getData(), 0, packet.getLength(), StandardCharsets.US_ASCII));
             }
-            assertEquals(List.of("two", "two"), all);
-            assertEquals(3, counted.get());
+            assertEquals(List.of("two", "two"), received);
+            assertEquals(3, relayedDatagrams.get());
         } finally {
             onLoop(() -> relay[0].close());
         }
     }
 
-    private static void send(DatagramSocket by, String text, InetSocketAddress to) throws IOException {
-        by.send(new DatagramPacket(text.getBytes(StandardCharsets.US_ASCII), text.length(), to));
+    private static void send(DatagramSocket sender, String text, InetSocketAddress recipient) throws IOException {
+        sender.send(new DatagramPacket(text.getBytes(StandardCharsets.US_ASCII), text.length(), recipient));
     }
 }
--- a/lab/src/test/java/gorsestack/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/gorsestack/lab/scenario/ScenarioReaderTest.java
@@ -6,8 +6,12 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests that valid scenarios are read and invalid ones rejected. Guards against messages that do not tell the user which key in which
+ * line is invalid.
+ */
 class ScenarioReaderTest {
-    private static final String GOOD = """
+    private static final String VALID = """
             name = "x"
             about = "y"
             seconds = 10
@@ -28,22 +32,24 @@
             """;
 
     @Test
-    void readsAValidScenario() throws Exception {
-        Scenario s = ScenarioReader.read("f", GOOD);
+    void readsValidScenario() throws Exception {
+        Scenario scenario = ScenarioReader.read("f", VALID);
         assertEquals(
                 "x 10.0 3 drop at least 0.9",
-                s.name() + " " + s.seconds() + " " + s.tiers().get(0).slots() + " "
-                        + s.faults().get(0).kind() + " " + s.invariants().get(0).expected());
-        assertEquals(3, s.products().size(), "one of each kind");
-        assertEquals(24, s.processes());
+                scenario.name() + " " + scenario.seconds() + " "
+                        + scenario.tiers().get(0).slots() + " "
+                        + scenario.faults().get(0).kind() + " "
+                        + scenario.invariants().get(0).expected());
+        assertEquals(3, scenario.products().size(), "by default there is one product of each kind");
+        assertEquals(24, scenario.processes());
         assertEquals(
                 36,
-                ScenarioReader.read("f", GOOD.replace("[load]", "[[tiers]]\nname=\"b\"\n[load]"))
+                ScenarioReader.read("f", VALID.replace("[load]", "[[tiers]]\nname=\"b\"\n[load]"))
                         .processes());
     }
 
     @Test
-    void namesKeyAndLineOfInvalidValues() {
+    void rejectsInvalidValueWithItsKeyAndLine() {
         String[][] rows = {
             {"slots = 3", "slots = 0", "f:5: tiers[0].slots must be a number from 1 to 10000, not 0"},
             {"slots = 3", "slots = 2.5", "f:5: tiers[0].slots must be a whole number"},
@@ -64,7 +70,7 @@
         for (String[] row : rows) {
             String message = assertThrows(
                             InvalidScenarioException.class,
-                            () -> ScenarioReader.read("f", GOOD.replace(row[0], row[1])),
+                            () -> ScenarioReader.read("f", VALID.replace(row[0], row[1])),
                             row[1])
                     .getMessage();
             assertTrue(message.contains(row[2]), message);
--- a/lab/src/test/java/gorsestack/lab/soak/SoakTest.java
+++ b/lab/src/test/java/gorsestack/lab/soak/SoakTest.java
@@ -20,13 +20,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The soak itself: its schedules are valid, its shim works, and it finds planted faults. */
+/**
+ * Tests the soak itself. Guards against a soak that always passes, because its schedules are invalid, its shim has no effect, or its
+ * checks do not detect a violation.
+ */
 class SoakTest {
     private static final Path ROOT = Path.of("").toAbsolutePath();
     private static final PrintStream DISCARDED =
             new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8);
-    /** Ten seconds of full service, and some time for late notifications. */
-    private static final double RECOVERY = 12;
+    /** The time after the disturbances in seconds: 10 s of full service, and some time for late notifications. */
+    private static final double RECOVERY_SECONDS = 12;
 
     @TempDir
     private Path folder;
@@ -35,27 +38,28 @@
         return Path.of(System.getProperty("java.home"), "bin", "java").toString();
     }
 
-    private static String program() {
+    private static String balancerCommand() {
         return "exec " + java()
                 + " -Xmx36m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -jar balancer/target/gorsestack.jar serve";
     }
 
-    private static String ruleBreaking(String mode) {
+    private static String ruleBreakingCommand(String mode) {
         return "exec " + java() + " -Xrs -Xmx32m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -cp "
                 + System.getProperty("java.class.path") + " gorsestack.lab.RuleBreakingBalancer " + mode;
     }
 
-    private Soak soak(String run, int balancers) throws Exception {
-        return new Soak(new Soak.Plan(ROOT, run, "test", folder, balancers, RECOVERY, false, DISCARDED));
+    private Soak soak(String command, int balancers) throws Exception {
+        return new Soak(new Soak.Plan(ROOT, command, "test", folder, balancers, RECOVERY_SECONDS, false, DISCARDED));
     }
 
-    /** A seed always has the same schedule, a valid scenario with two or three overlapping disturbances; all kinds occur. */
+    /** A seed determines its schedule: a valid scenario with two or three overlapping disturbances. Over many seeds all kinds occur. */
     @Test
-    void drawsValidSchedules() throws Exception {
+    void drawsSameValidScheduleForSameSeed() throws Exception {
         Set<String> names = new HashSet<>();
         for (long seed = 1; seed <= 400; seed++) {
-            Schedule schedule = Schedule.of(seed, 10, RECOVERY);
-            assertEquals(schedule.scenario(), Schedule.of(seed, 10, RECOVERY).scenario());
+            Schedule schedule = Schedule.of(seed, 10, RECOVERY_SECONDS);
+            assertEquals(
+                    schedule.scenario(), Schedule.of(seed, 10, RECOVERY_SECONDS).scenario());
             Scenario scenario = ScenarioReader.read("soak", schedule.scenario());
             assertTrue(schedule.disturbances().size() == 2
                     || schedule.disturbances().size() == 3);
@@ -68,7 +72,8 @@
                     .max()
                     .orElseThrow();
             assertTrue(last - first <= 3.2, schedule.names());
-            schedule.disturbances().forEach(t -> names.add(t.name().split(" E[A-Z]+| SHORT")[0]));
+            schedule.disturbances()
+                    .forEach(disturbance -> names.add(disturbance.name().split(" E[A-Z]+| SHORT")[0]));
             assertEquals(
                     schedule.disturbances().size() - 1,
                     schedule.without(0).disturbances().size());
@@ -76,11 +81,11 @@
         assertEquals(36, names.size(), names.toString());
     }
 
-    /** System calls fail visibly for a while, and requests meanwhile get their responses. */
+    /** The balancer logs the failing system calls, and requests still get their responses. */
     @Test
-    void theShimMakesCallsFail() throws Exception {
+    void shimMakesSystemCallsFailAndRunPasses() throws Exception {
         Shim shim = Shim.build(folder.resolve("shim"));
-        Assumptions.assumeTrue(shim != null, "no C compiler here");
+        Assumptions.assumeTrue(shim != null, "no C compiler is installed, so the shim cannot be built");
         String text = """
                 name = "shim"
                 about = "accept, connect and write fail, the wall clock is set"
@@ -126,7 +131,7 @@
                         text,
                         1,
                         ROOT,
-                        shim.command(program()),
+                        shim.command(balancerCommand()),
                         null,
                         "test",
                         out,
@@ -139,25 +144,25 @@
         assertEquals("PASS", result.line(), result.firstViolations().toString());
     }
 
-    /** A planted fault is found within two seeds; runs without a verdict, as on a busy machine, do not count as one of them. */
+    /** A planted fault is found within two seeds. Void runs, which happen on a busy machine, do not count as one of them. */
     @Test
-    void findsAPlantedFault() throws Exception {
-        Soak.Outcome found = soak(ruleBreaking("twice"), 2).play(2);
+    void findsPlantedFaultWithinTwoConclusiveSeeds() throws Exception {
+        Soak.Outcome found = soak(ruleBreakingCommand("twice"), 2).play(2);
         int conclusive = found.inconclusive() ? 0 : 1;
         for (long seed = 3; (found.inconclusive() || !found.failed()) && conclusive < 2 && seed <= 6; seed++) {
-            found = soak(ruleBreaking("twice"), 2).play(seed);
+            found = soak(ruleBreakingCommand("twice"), 2).play(seed);
             conclusive += found.inconclusive() ? 0 : 1;
         }
         assertTrue(found.failed(), found.findings().toString());
         assertTrue(
-                found.findings().stream().anyMatch(w -> w.contains("lost")),
+                found.findings().stream().anyMatch(finding -> finding.contains("lost")),
                 found.findings().toString());
     }
 
     @Test
-    void theBalancerPassesASeed() throws Exception {
-        Soak.Outcome outcome = soak(program(), 4).play(2);
+    void balancerPassesSeed() throws Exception {
+        Soak.Outcome outcome = soak(balancerCommand(), 4).play(2);
         assertFalse(outcome.failed(), outcome.findings().toString());
-        Assumptions.assumeFalse(outcome.inconclusive(), "the machine was too busy");
+        Assumptions.assumeFalse(outcome.inconclusive(), "the run is void, because the machine was too busy");
     }
 }
--- a/lab/src/test/java/gorsestack/lab/standin/CapacityModelTest.java
+++ b/lab/src/test/java/gorsestack/lab/standin/CapacityModelTest.java
@@ -9,16 +9,21 @@
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests the capacity of a stand-in for an upstream against a manual clock. Guards against stand-ins that are faster or slower than
+ * their settings say, which would distort the metrics of all runs.
+ */
 class CapacityModelTest {
     private static final long MS = 1_000_000;
 
-    private record Due(long at, int order, Runnable task) {}
+    private record ScheduledTask(long dueAt, int order, Runnable task) {}
 
-    private static final class Clock implements CapacityModel.Timer {
+    /** A timer that advances only when the test says so, and runs the tasks that become due. */
+    private static final class ManualClock implements CapacityModel.Timer {
         private long now;
         private int order;
-        private final PriorityQueue<Due> dues =
-                new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : a.order - b.order);
+        private final PriorityQueue<ScheduledTask> tasks =
+                new PriorityQueue<>((a, b) -> a.dueAt != b.dueAt ? Long.compare(a.dueAt, b.dueAt) : a.order - b.order);
 
         @Override
         public long now() {
@@ -27,24 +32,24 @@
 
         @Override
         public Runnable after(long nanos, Runnable task) {
-            Due due = new Due(now + nanos, order++, task);
-            dues.add(due);
-            return () -> dues.remove(due);
+            ScheduledTask due = new ScheduledTask(now + nanos, order++, task);
+            tasks.add(due);
+            return () -> tasks.remove(due);
         }
 
-        void pass(long ms) {
+        void advance(long ms) {
             long until = now + ms * MS;
-            while (!dues.isEmpty() && dues.peek().at <= until) {
-                Due due = dues.poll();
-                now = due.at;
+            while (!tasks.isEmpty() && tasks.peek().dueAt <= until) {
+                ScheduledTask due = tasks.poll();
+                now = due.dueAt;
                 due.task.run();
             }
             now = until;
         }
     }
 
-    private final Clock clock = new Clock();
-    private final List<Long> ended = new ArrayList<>();
+    private final ManualClock clock = new ManualClock();
+    private final List<Long> endTimes = new ArrayList<>();
     private final List<CapacityModel.Overload> overloads = new ArrayList<>();
 
     private CapacityModel model(int slots, int queue, boolean warm) {
@@ -54,7 +59,7 @@
 
     private CapacityModel.Job arrive(CapacityModel model, double work) {
         return model.accept(work, job -> {
-            ended.add(clock.now() / MS);
+            endTimes.add(clock.now() / MS);
             model.release(job);
         });
     }
@@ -66,17 +71,17 @@
         assertNotNull(arrive(model, 20));
         assertNotNull(arrive(model, 10));
         assertNull(arrive(model, 10));
-        clock.pass(100);
-        assertEquals(List.of(10L, 20L, 20L), ended);
+        clock.advance(100);
+        assertEquals(List.of(10L, 20L, 20L), endTimes);
     }
 
     @Test
-    void isSlowDuringSlowStartAndCanBeOverloaded() {
+    void isSlowerAndCanBeOverloadedDuringSlowStart() {
         CapacityModel model = model(1, 100, false);
         arrive(model, 10);
-        clock.pass(100);
-        assertEquals(List.of(50L), ended);
-        // Its capacity in the first second is a fifth of a second of work, and 2.5 times that is the limit.
+        clock.advance(100);
+        assertEquals(List.of(50L), endTimes);
+        // The capacity in the first second is a fifth of a second of work, and an overload is 2.5 times as much.
         for (int i = 0; i < 48; i++) {
             arrive(model, 10);
         }
@@ -85,25 +90,25 @@
             arrive(model, 10);
         }
         assertEquals(true, overloads.size() > 0);
-        clock.pass(20_000);
+        clock.advance(20_000);
         overloads.clear();
         for (int i = 0; i < 100; i++) {
             arrive(model, 10);
         }
-        assertEquals(0, overloads.size(), "after the slow start jobs wait");
+        assertEquals(0, overloads.size(), "after the slow start, excess jobs wait and are no overload");
     }
 
     @Test
-    void releasesWaitingAndRunningJobs() {
+    void releasedJobsDoNotDelayOthersWhetherWaitingOrRunning() {
         CapacityModel model = model(1, 5, true);
         CapacityModel.Job first = arrive(model, 10);
         CapacityModel.Job second = arrive(model, 10);
         arrive(model, 10);
         model.release(second);
-        clock.pass(5);
+        clock.advance(5);
         model.release(first);
-        clock.pass(100);
-        assertEquals(List.of(15L), ended);
+        clock.advance(100);
+        assertEquals(List.of(15L), endTimes);
         assertEquals(0, model.jobs());
     }
 
@@ -111,13 +116,13 @@
     void pausesJobsWhileHanging() {
         CapacityModel model = model(2, 5, true);
         arrive(model, 10);
-        clock.pass(5);
+        clock.advance(5);
         model.setHanging(true);
         arrive(model, 10);
-        clock.pass(1000);
-        assertEquals(List.of(), ended);
+        clock.advance(1000);
+        assertEquals(List.of(), endTimes);
         model.setHanging(false);
-        clock.pass(100);
-        assertEquals(List.of(1005L, 1015L), ended);
+        clock.advance(100);
+        assertEquals(List.of(1005L, 1015L), endTimes);
     }
 }
--- a/lab/src/test/java/gorsestack/lab/verify/RecordsTest.java
+++ b/lab/src/test/java/gorsestack/lab/verify/RecordsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The stored form of records, which must not change when classes or components are renamed. */
+/** Tests the stored form of records. Guards against files that become unreadable because a class or component was renamed. */
 class RecordsTest {
     private static final String STORED = """
             {"id":"c1t0","key":"k1","product":"read","tier":0,"upstream":2,"zone":"a","cell":1,"balancer":3,"begun":10,"last":11,"outcome":"served","ran":true,"answered":12,"is":"Attempt"}
@@ -36,7 +36,7 @@
     private Path folder;
 
     @Test
-    void readsAndWritesTheStoredFormOfEachKind() throws IOException {
+    void writesSameStoredFormThatWasReadForEachKind() throws IOException {
         Path stored = folder.resolve("stored.zst");
         try (OutputStream out = new ZstdOutputStream(Files.newOutputStream(stored))) {
             out.write(STORED.getBytes(StandardCharsets.UTF_8));
--- a/lab/src/test/java/gorsestack/lab/verify/VerifierTest.java
+++ b/lab/src/test/java/gorsestack/lab/verify/VerifierTest.java
@@ -21,10 +21,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Records with a planted violation of each rule, and records that only resemble one. */
+/**
+ * Tests rules and metrics on constructed records: some contain a violation of a rule, others only resemble one. Guards against
+ * violations that go undetected and against verdicts that blame a balancer for something that it did not cause.
+ */
 class VerifierTest {
     private static final long MS = 1_000_000;
-    private static final String TEXT = """
+    private static final String SCENARIO = """
             name = "judge"
             about = "records"
             seconds = 60
@@ -42,7 +45,7 @@
 
     @BeforeEach
     void read() throws Exception {
-        scenario = ScenarioReader.read("judge", TEXT);
+        scenario = ScenarioReader.read("judge", SCENARIO);
     }
 
     private void clientRequest(String id, String product, long at, long ended, String outcome, boolean correct) {
@@ -92,7 +95,7 @@
     }
 
     @Test
-    void acceptsRecordsWithoutViolations() {
+    void findsNoViolationInRecordsThatComply() {
         clientRequest("a", "read", 0, 30, "200", true);
         upstreamAttempt("a", "read", 0, 1, "served", 29);
         clientRequest("b", "read", 0, 3000, "504", false);
@@ -107,7 +110,7 @@
     }
 
     @Test
-    void detectsMissingLateWrongAndExtraResponses() {
+    void detectsLateMissingWrongAndExtraResponses() {
         clientRequest("late", "read", 0, 3100, "504", false);
         assertEquals("lost", violatedRules());
         clientRequest("never", "read", 0, 3300, "timeout", false);
@@ -115,7 +118,7 @@
         clientRequest("wrong", "read", 0, 20, "200", false);
         assertEquals("lost lost lost", violatedRules());
         clientRequest("closed", "read", 0, 20, "closed", false);
-        assertEquals("lost lost lost", violatedRules(), "nothing sent on for it: failed, not lost");
+        assertEquals("lost lost lost", violatedRules(), "the request was not forwarded, so it failed but is not lost");
         upstreamAttempt("closed", "read", 0, 5, "served", 10);
         assertEquals("lost lost lost lost", violatedRules());
         records.extraResponses.add(new Records.ExtraResponse(0, "a", 50 * MS));
@@ -123,11 +126,11 @@
     }
 
     @Test
-    void detectsAnAttemptAfterTheResponse() {
+    void detectsAttemptThatStartsAfterResponse() {
         clientRequest("a", "read", 0, 30, "200", true);
         upstreamAttempt("a", "read", 0, 1, "served", 29);
         upstreamAttempt("a", "read", 1, 60, "cancelled", -1);
-        assertEquals("", violatedRules(), "on its way");
+        assertEquals("", violatedRules(), "the attempt was still in transit when the response was sent");
         upstreamAttempt("a", "read", 1, 90, "cancelled", -1);
         assertEquals("lost", violatedRules());
     }
@@ -139,23 +142,26 @@
         assertEquals("dup", violatedRules());
         upstreamAttempt("b", "write", 0, 1, "cancelled", -1);
         upstreamAttempt("b", "write", 1, 40, "unprocessed", 41);
-        assertEquals("dup dup", violatedRules(), "cancelled proves nothing");
+        assertEquals("dup dup", violatedRules(), "a cancelled attempt may have been executed");
         upstreamAttempt("c", "write", 0, 1, "unprocessed", 50);
         upstreamAttempt("c", "write", 1, 40, "served", 60);
-        assertEquals("dup dup dup", violatedRules(), "not heard of yet");
+        assertEquals("dup dup dup", violatedRules(), "the upstream had not responded when the second attempt started");
         upstreamAttempt("d", "publish", 0, 1, "served", 29);
         upstreamAttempt("d", "publish", 1, 40, "served", 60);
-        assertEquals("dup dup dup dup", violatedRules(), "another zone");
+        assertEquals("dup dup dup dup", violatedRules(), "idempotency keys are not shared with another zone");
         upstreamAttempt("e", "publish", 0, 1, "error", -1);
         upstreamAttempt("e", "publish", 2, 7000, "served", 7020);
-        assertEquals("dup dup dup dup dup", violatedRules(), "past the window");
+        assertEquals("dup dup dup dup dup", violatedRules(), "the second attempt is after the deduplication window");
         upstreamAttempt("f", "read", 0, 1, "served", 29);
         upstreamAttempt("f", "read", 1, 40, "served", 60);
-        assertEquals(5, new Verifier(scenario, records).verify().violations().size(), "may run again");
+        assertEquals(
+                5,
+                new Verifier(scenario, records).verify().violations().size(),
+                "idempotent requests may be executed again");
     }
 
     @Test
-    void detectsARejectionOfWhatMayHaveBeenExecuted() {
+    void detectsRejectionOfRequestThatMayHaveBeenExecuted() {
         clientRequest("a", "write", 0, 30, "429", false);
         upstreamAttempt("a", "write", 0, 1, "spoilt", -1);
         assertEquals("dup", violatedRules());
@@ -168,11 +174,11 @@
     }
 
     @Test
-    void detectsAttemptsAfterADrain() {
+    void detectsAttemptAfterDrain() {
         records.endpointChanges.add(new EndpointChange(0, "terminating", 1000 * MS));
         records.statusDeliveries.add(new StatusDelivery(0, 0, "terminating", 1500 * MS));
         upstreamAttempt("a", "read", 0, 3500, "served", 3520);
-        assertEquals("", violatedRules(), "within the grace");
+        assertEquals("", violatedRules(), "the attempt is within the grace period");
         upstreamAttempt("b", "read", 0, 3600, "served", 3620);
         assertEquals("drain", violatedRules());
         records.endpointChanges.add(new EndpointChange(0, "in_service", 4000 * MS));
@@ -181,7 +187,7 @@
     }
 
     @Test
-    void deemsABalancerNotifiedAfterTheDeadline() {
+    void deemsBalancerNotifiedWhenDeadlineHasPassed() {
         records.endpointChanges.add(new EndpointChange(0, "terminating", 1000 * MS));
         upstreamAttempt("a", "read", 0, 9000, "served", 9020);
         assertEquals("", violatedRules());
@@ -190,7 +196,7 @@
     }
 
     @Test
-    void excusesBalancersThatWereStoppedOrHaveJustStarted() {
+    void excusesBalancerThatWasStoppedOrKilled() {
         records.endpointChanges.add(new EndpointChange(0, "terminating", 1000 * MS));
         records.statusDeliveries.add(new StatusDelivery(0, 0, "terminating", 1500 * MS));
         records.processEvents.add(new Records.ProcessEvent(0, "stop", 1400 * MS));
@@ -200,7 +206,7 @@
         upstreamAttempt("b", "read", 0, 7100, "served", 7120);
         assertEquals("drain", violatedRules());
         clientRequest("c", "read", 1200, 5100, "504", false);
-        assertEquals("drain", violatedRules(), "nobody could have answered");
+        assertEquals("drain", violatedRules(), "the balancer was stopped when the deadline passed");
         records.processEvents.add(new Records.ProcessEvent(0, "kill", 8000 * MS));
         records.processEvents.add(new Records.ProcessEvent(0, "start", 9000 * MS));
         clientRequest("d", "read", 7990, 8000, "closed", false);
@@ -211,7 +217,7 @@
     }
 
     @Test
-    void excusesFaultsOfTheClientsOwnLinkOnly() {
+    void excusesFaultOfClientLinkToSameBalancerOnly() {
         records.injectedFaults.add(new InjectedFault(0, "drop", 1000 * MS, 2000 * MS, List.of("clients-a>n0"), true));
         clientRequest("a", "read", 500, 3800, "timeout", false);
         assertEquals("", violatedRules());
@@ -221,7 +227,7 @@
     }
 
     @Test
-    void detectsAnOverloadDuringSlowStart() {
+    void detectsOverloadDuringSlowStart() {
         records.slowStartOverloads.add(new Records.SlowStartOverload(0, 50 * MS, 300, 100));
         assertEquals("cold", violatedRules());
     }
@@ -234,9 +240,9 @@
         return RunResult.of(scenario, records, new RunContext(1, "v", "t", Map.of(), null, null));
     }
 
-    /** On a busy machine, delays of the lab look like delays of the balancer. */
+    /** Guards against a balancer that fails for delays of the lab, which on a busy machine look like its own. */
     @Test
-    void isVoidRatherThanFailedIfTheLabWasDelayed() {
+    void verdictIsVoidInsteadOfFailIfLabWasDelayed() {
         clientRequest("never", "read", 0, 3300, "timeout", false);
         records.loopDelays.add(new LoopDelay(100, 4_900, 20_000));
         assertEquals("FAIL", result().verdict());
@@ -247,8 +253,8 @@
     }
 
     @Test
-    void writesAndReadsAllKindsOfRecords() throws Exception {
-        detectsAttemptsAfterADrain();
+    void recordsAreEqualAfterWriteAndRead() throws Exception {
+        detectsAttemptAfterDrain();
         clientRequest("c", "read", 1200, 5100, "504", false);
         records.processEvents.add(new Records.ProcessEvent(0, "kill", 8000 * MS));
         records.injectedFaults.add(new InjectedFault(0, "drop", 1000 * MS, 2000 * MS, List.of("clients-a>n0"), true));
@@ -273,14 +279,14 @@
     }
 
     @Test
-    void computesTheTimeToFullService() {
+    void computesTimeToFullServiceAfterFault() {
         for (int i = 0; i < 6000; i++) {
-            // 100 calls a second; from 20 s on a fifth fails, till 23.5 s.
+            // The rate is 100 calls per second; one call in five fails from 20 s to 23.5 s.
             long at = i * 10L;
             boolean fails = at >= 20_000 && at < 23_500 && i % 5 == 0;
             clientRequest("c" + i, "read", at, at + 20, fails ? "502" : "200", !fails);
         }
-        assertEquals(0, timeToFullService(), "no fault");
+        assertEquals(0, timeToFullService(), "without a fault, service is always full");
         records.injectedFaults.add(new InjectedFault(0, "kill", 20_000 * MS, 20_000 * MS, List.of("n0"), true));
         assertEquals(3.5, timeToFullService(), 0.11);
         RunMetrics metrics = new RunMetrics(scenario, records, 0);
@@ -312,18 +318,22 @@
                             ""));
         }
         records.injectedFaults.set(0, new InjectedFault(0, "kill", 50_000 * MS, 50_000 * MS, List.of(), true));
-        assertEquals(0, timeToFullService(), 0.11, "a share that was 0.8 before");
+        assertEquals(0, timeToFullService(), 0.11, "the served fraction was 0.8 even before the fault");
         records.injectedFaults.set(0, new InjectedFault(0, "kill", 12_000 * MS, 12_000 * MS, List.of(), true));
-        assertEquals(1, new RunMetrics(scenario, records, 0).get("regained", Period.ALL), 0.01, "0.8 before and after");
+        assertEquals(
+                1,
+                new RunMetrics(scenario, records, 0).get("regained", Period.ALL),
+                0.01,
+                "the served fraction is 0.8 before and after the fault");
     }
 
-    /** Regression: the second of a kill at 15.0003 s counted as before it. */
+    /** Guards against an earlier error: the second that contains a kill at 15.0003 s was counted as before the kill. */
     @Test
-    void theSecondOfAFaultIsAfterIt() {
+    void secondThatContainsFaultCountsAsAfterIt() {
         records.injectedFaults.add(
                 new InjectedFault(0, "kill", 15_000 * MS + 300_000, 15_000 * MS + 300_000, List.of("n0"), true));
-        for (int s = 0; s < 20; s++) {
-            records.secondSamples.add(new Records.SecondSample(s, 0, s == 15 ? 63 : s == 14 ? 2 : 1, 0));
+        for (int second = 0; second < 20; second++) {
+            records.secondSamples.add(new Records.SecondSample(second, 0, second == 15 ? 63 : second == 14 ? 2 : 1, 0));
         }
         RunMetrics metrics = new RunMetrics(scenario, records, 0);
         assertEquals(
@@ -332,9 +342,9 @@
                         + " " + metrics.get("peak_connections_over_steady", Period.ALL));
     }
 
-    /** A process that started has to open the first connection to each upstream; only others are further ones. */
+    /** The first connection to each upstream is inevitable after a start; only later ones count as further connections. */
     @Test
-    void distinguishesFirstFromFurtherConnections() {
+    void excludesFirstConnectionAfterStartFromFurtherConnections() {
         records.injectedFaults.add(new InjectedFault(0, "kill", 15_000 * MS, 15_000 * MS, List.of("n0"), true));
         records.processEvents.addAll(List.of(
                 new Records.ProcessEvent(0, "start", -9_000 * MS),
@@ -343,7 +353,7 @@
                 new Records.ProcessEvent(0, "kill", 15_000 * MS),
                 new Records.ProcessEvent(0, "start", 15_010 * MS),
                 new Records.ProcessEvent(0, "ready", 16_200 * MS)));
-        for (long[] c : new long[][] {
+        for (long[] connection : new long[][] {
             {0, 0, 1_000},
             {0, 0, 2_000},
             {0, 1, 2_100},
@@ -354,7 +364,8 @@
             {0, 0, 16_300},
             {0, 0, 16_400}
         }) {
-            records.connectionsOpened.add(new Records.ConnectionOpened((int) c[0], (int) c[1], c[2] * MS));
+            records.connectionsOpened.add(
+                    new Records.ConnectionOpened((int) connection[0], (int) connection[1], connection[2] * MS));
         }
         RunMetrics metrics = new RunMetrics(scenario, records, 0);
         assertEquals(
@@ -368,7 +379,7 @@
     }
 
     @Test
-    void computesPeaksOverAnySecond() {
+    void peakIsLargestCountInAnyIntervalOfOneSecond() {
         assertEquals(4, PeakMetrics.peak(new long[] {900 * MS, 1500 * MS, 1850 * MS, 1899 * MS}, 0, 5000 * MS));
         assertEquals(2, PeakMetrics.peak(new long[] {900 * MS, 1500 * MS, 1850 * MS, 1899 * MS}, 1600 * MS, 5000 * MS));
     }
