--- a/lab/src/main/java/gorsestack/lab/run/FaultInjector.java
+++ b/lab/src/main/java/gorsestack/lab/run/FaultInjector.java
@@ -275,7 +275,7 @@
         }
     }
 
-    /** Crashes an upstream, which discovery publishes after its failure detection delay, and restarts it if the fault has a restart delay. */
+    /** Crashes an upstream, and restarts it if there is a restart delay. Discovery publishes the crash after its failure detection delay. */
     private void crash(Upstream upstream, double restartDelay) {
         upstream.crash();
         testbed.after(nanos(testbed.scenario.discovery().failureDetectionDelay()), () -> {
