--- a/lab/src/main/java/gorsestack/lab/verify/DrainRule.java
+++ b/lab/src/main/java/gorsestack/lab/verify/DrainRule.java
@@ -19,7 +19,7 @@
 
     private record BalancerAndUpstream(int balancer, int upstream) {}
 
-    private final Evidence evidence;
+    private final IndexedRecords indexedRecords;
     private final Consumer<Violation> violations;
     /** The time after the notification during which attempts are permitted, in nanoseconds. */
     private final long grace;
@@ -29,15 +29,15 @@
     private final Map<Integer, List<EndpointChange>> changes = new HashMap<>();
     private final Map<BalancerAndUpstream, List<StatusDelivery>> deliveries = new HashMap<>();
 
-    DrainRule(Evidence evidence, Consumer<Violation> violations) {
-        this.evidence = evidence;
+    DrainRule(IndexedRecords indexedRecords, Consumer<Violation> violations) {
+        this.indexedRecords = indexedRecords;
         this.violations = violations;
-        grace = (long) (evidence.scenario.rules().drainGrace() * 1e9) + Evidence.TOLERANCE_NANOS;
-        notificationDeadline = (long) (evidence.scenario.rules().notificationDeadline() * 1e9);
-        evidence.records.endpointChanges.forEach(
+        grace = (long) (indexedRecords.scenario.rules().drainGrace() * 1e9) + IndexedRecords.TOLERANCE_NANOS;
+        notificationDeadline = (long) (indexedRecords.scenario.rules().notificationDeadline() * 1e9);
+        indexedRecords.records.endpointChanges.forEach(
                 change -> changes.computeIfAbsent(change.upstream(), upstream -> new ArrayList<>())
                         .add(change));
-        evidence.records.statusDeliveries.forEach(delivery -> deliveries
+        indexedRecords.records.statusDeliveries.forEach(delivery -> deliveries
                 .computeIfAbsent(
                         new BalancerAndUpstream(delivery.balancer(), delivery.upstream()), pair -> new ArrayList<>())
                 .add(delivery));
@@ -50,7 +50,7 @@
             return;
         }
         long notifiedAt = notificationTime(attempt, outSince);
-        if (attempt.startedAt() > notifiedAt + grace && !evidence.attemptLinkFaulted(attempt, notifiedAt)) {
+        if (attempt.startedAt() > notifiedAt + grace && !indexedRecords.attemptLinkFaulted(attempt, notifiedAt)) {
             violations.accept(new Violation(
                     Violation.DRAIN,
                     attempt.startedAt(),
@@ -77,7 +77,7 @@
     /** Returns when the balancer of an attempt was notified, or is deemed notified, that the upstream was out of service. */
     private long notificationTime(UpstreamAttempt attempt, long outSince) {
         int balancer = attempt.balancer();
-        long processStart = evidence.processes.lastStart(balancer, attempt.startedAt());
+        long processStart = indexedRecords.processes.lastStart(balancer, attempt.startedAt());
         long notifiedAt = Math.max(outSince, processStart) + notificationDeadline;
         BalancerAndUpstream pair = new BalancerAndUpstream(balancer, attempt.upstream());
         for (StatusDelivery delivery : deliveries.getOrDefault(pair, List.of())) {
@@ -85,6 +85,6 @@
                 notifiedAt = Math.min(notifiedAt, delivery.at());
             }
         }
-        return evidence.processes.processedAt(balancer, notifiedAt, attempt.startedAt());
+        return indexedRecords.processes.processedAt(balancer, notifiedAt, attempt.startedAt());
     }
 }
--- a/lab/src/main/java/gorsestack/lab/verify/DuplicateRule.java
+++ b/lab/src/main/java/gorsestack/lab/verify/DuplicateRule.java
@@ -11,11 +11,11 @@
  * {@link Verifier} uses this class on the thread that verifies.
  */
 final class DuplicateRule {
-    private final Evidence evidence;
+    private final IndexedRecords indexedRecords;
     private final Consumer<Violation> violations;
 
-    DuplicateRule(Evidence evidence, Consumer<Violation> violations) {
-        this.evidence = evidence;
+    DuplicateRule(IndexedRecords indexedRecords, Consumer<Violation> violations) {
+        this.indexedRecords = indexedRecords;
         this.violations = violations;
     }
 
@@ -35,13 +35,13 @@
      * unless a second execution is harmless.
      */
     void checkRejection(ClientRequest request) {
-        Product product = evidence.product(request.product());
+        Product product = indexedRecords.product(request.product());
         boolean harmless = product.idempotent()
                 || (product.deduplicated() && product.keyScope().equals("all"));
         if (harmless || !request.rejected()) {
             return;
         }
-        for (UpstreamAttempt attempt : evidence.attempts(request.id())) {
+        for (UpstreamAttempt attempt : indexedRecords.attempts(request.id())) {
             if (attempt.startedAt() <= request.ended() && !provenUnprocessed(attempt, request.ended())) {
                 report(
                         request.ended(),
@@ -55,7 +55,7 @@
 
     /** Checks the attempts of one request, ordered by their start. */
     void checkAttempts(List<UpstreamAttempt> attempts) {
-        Product product = evidence.product(attempts.get(0).product());
+        Product product = indexedRecords.product(attempts.get(0).product());
         if (product.idempotent()) {
             return;
         }
@@ -80,7 +80,7 @@
         }
         String earlierScope = deduplicationScope(earlier, product);
         String laterScope = deduplicationScope(later, product);
-        long window = (long) (product.repeatWindow() * 1e9) + Evidence.TOLERANCE_NANOS;
+        long window = (long) (product.repeatWindow() * 1e9) + IndexedRecords.TOLERANCE_NANOS;
         if (!laterScope.equals(earlierScope) || later.startedAt() - earlier.startedAt() > window) {
             report(
                     later.startedAt(),
--- a/lab/src/main/java/gorsestack/lab/verify/Evidence.java
+++ b/lab/src/main/java/gorsestack/lab/verify/IndexedRecords.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /** The records of a run, indexed for the rule checks of {@link Verifier}; immutable once built. */
-final class Evidence {
+final class IndexedRecords {
     /** The tolerance of all time limits in nanoseconds, which covers the delays of sockets. */
     static final long TOLERANCE_NANOS = 50_000_000L;
     /** How long a link fault may have effects after its end, in nanoseconds, as delayed bytes are delivered and retransmitted. */
@@ -23,7 +23,7 @@
     private final Map<String, Product> products = new HashMap<>();
     private final Map<String, List<UpstreamAttempt>> attempts = new HashMap<>();
 
-    Evidence(Scenario scenario, Records records) {
+    IndexedRecords(Scenario scenario, Records records) {
         this.scenario = scenario;
         this.records = records;
         processes = new ProcessTimelines(records.processEvents);
--- a/lab/src/main/java/gorsestack/lab/verify/ProcessTimelines.java
+++ b/lab/src/main/java/gorsestack/lab/verify/ProcessTimelines.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The states of the balancer processes over time, derived from the process events of a run; used by {@link Evidence}. */
+/** The states of the balancer processes over time, derived from the process events of a run; used by {@link IndexedRecords}. */
 final class ProcessTimelines {
     /** A time in nanoseconds that is after every event of a run and, negated, before every event; sums with it do not overflow. */
     private static final long DISTANT = Long.MAX_VALUE / 4;
--- a/lab/src/main/java/gorsestack/lab/verify/ResponseRule.java
+++ b/lab/src/main/java/gorsestack/lab/verify/ResponseRule.java
@@ -17,12 +17,12 @@
 
     private static final long NANOS_PER_MS = 1_000_000L;
 
-    private final Evidence evidence;
+    private final IndexedRecords indexedRecords;
     private final Consumer<Violation> violations;
     private int lostCalls;
 
-    ResponseRule(Evidence evidence, Consumer<Violation> violations) {
-        this.evidence = evidence;
+    ResponseRule(IndexedRecords indexedRecords, Consumer<Violation> violations) {
+        this.indexedRecords = indexedRecords;
         this.violations = violations;
     }
 
@@ -48,7 +48,7 @@
         }
         if (!excused
                 && request.outcome().equals("closed")
-                && !evidence.attempts(request.id()).isEmpty()) {
+                && !indexedRecords.attempts(request.id()).isEmpty()) {
             reportLost(
                     request.ended(),
                     "n" + request.balancer() + " took " + request.id()
@@ -68,9 +68,9 @@
      */
     private boolean excused(ClientRequest request) {
         return request.sent() == Records.NEVER
-                || evidence.processes.unavailable(
-                        request.balancer(), request.intended(), request.ended(), Evidence.TOLERANCE_NANOS)
-                || evidence.linkFaulted(
+                || indexedRecords.processes.unavailable(
+                        request.balancer(), request.intended(), request.ended(), IndexedRecords.TOLERANCE_NANOS)
+                || indexedRecords.linkFaulted(
                         request.party() + ">n" + request.balancer(), request.intended(), request.ended());
     }
 
@@ -78,7 +78,7 @@
         long due = request.intended() + request.timeBudget();
         if (request.outcome().equals("timeout")) {
             reportLost(request.ended(), "n" + request.balancer() + " took " + request.id() + " and sent no response");
-        } else if (request.hasStatus() && request.ended() > due + Evidence.TOLERANCE_NANOS) {
+        } else if (request.hasStatus() && request.ended() > due + IndexedRecords.TOLERANCE_NANOS) {
             reportLost(
                     request.ended(),
                     "n" + request.balancer() + " took " + request.id() + " and responded "
@@ -88,8 +88,8 @@
 
     /** Checks that no attempt starts for a request that already has its response. */
     void checkAttemptsAfterResponse(ClientRequest request) {
-        for (UpstreamAttempt attempt : evidence.attempts(request.id())) {
-            if (attempt.startedAt() > request.ended() + Evidence.TOLERANCE_NANOS
+        for (UpstreamAttempt attempt : indexedRecords.attempts(request.id())) {
+            if (attempt.startedAt() > request.ended() + IndexedRecords.TOLERANCE_NANOS
                     && attempt.balancer() == request.balancer()
                     && startedByChoice(attempt, request.ended())) {
                 report(
@@ -102,8 +102,8 @@
 
     /** Returns whether the balancer started an attempt after a time, as neither a link fault nor SIGSTOP explains its late arrival. */
     private boolean startedByChoice(UpstreamAttempt attempt, long since) {
-        return !evidence.attemptLinkFaulted(attempt, since - Evidence.LINK_RECOVERY_NANOS)
-                && !evidence.processes.stopped(attempt.balancer(), since, attempt.startedAt());
+        return !indexedRecords.attemptLinkFaulted(attempt, since - IndexedRecords.LINK_RECOVERY_NANOS)
+                && !indexedRecords.processes.stopped(attempt.balancer(), since, attempt.startedAt());
     }
 
     /** Reports a response that a client received in addition to the one to its request. */
@@ -116,11 +116,11 @@
     /** Checks that no attempt starts for a client that has disconnected. */
     void checkAttemptsAfterDisconnect(ClientDeparture departure, String party) {
         String clientLink = party + ">n" + departure.balancer();
-        for (UpstreamAttempt attempt : evidence.attempts(departure.id())) {
+        for (UpstreamAttempt attempt : indexedRecords.attempts(departure.id())) {
             if (attempt.balancer() == departure.balancer()
-                    && attempt.startedAt() > departure.at() + DISCONNECT_GRACE_NANOS + Evidence.TOLERANCE_NANOS
+                    && attempt.startedAt() > departure.at() + DISCONNECT_GRACE_NANOS + IndexedRecords.TOLERANCE_NANOS
                     && startedByChoice(attempt, departure.at())
-                    && !evidence.linkFaulted(clientLink, departure.at(), attempt.startedAt())) {
+                    && !indexedRecords.linkFaulted(clientLink, departure.at(), attempt.startedAt())) {
                 report(
                         attempt.startedAt(),
                         "n" + departure.balancer() + " sent " + departure.id() + " to u" + attempt.upstream() + " "
@@ -133,9 +133,10 @@
     /** Reports a misbehaving client that got neither a response nor a close, unless the balancer or the link could not deliver one. */
     void checkMisbehavingClient(MisbehavingClientViolation violation) {
         int balancer = violation.balancer();
-        if (!evidence.processes.unavailable(balancer, violation.from(), violation.until(), Evidence.TOLERANCE_NANOS)
-                && !evidence.processes.terminating(balancer, violation.from(), violation.until())
-                && !evidence.linkFaulted(
+        if (!indexedRecords.processes.unavailable(
+                        balancer, violation.from(), violation.until(), IndexedRecords.TOLERANCE_NANOS)
+                && !indexedRecords.processes.terminating(balancer, violation.from(), violation.until())
+                && !indexedRecords.linkFaulted(
                         Verifier.MISBEHAVING_CLIENTS + ">n" + balancer, violation.from(), violation.until())) {
             reportLost(violation.until(), "n" + balancer + ": " + violation.id() + " " + violation.description());
         }
--- a/lab/src/main/java/gorsestack/lab/verify/Verifier.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Verifier.java
@@ -17,7 +17,7 @@
     public static final String MISBEHAVING_CLIENTS = "clients-rude";
 
     private final Records records;
-    private final Evidence evidence;
+    private final IndexedRecords indexedRecords;
     private final List<Violation> violations = new ArrayList<>();
     private final ResponseRule responses;
     private final DuplicateRule duplicates;
@@ -26,10 +26,10 @@
     /** Creates a verifier of the records of one run. */
     public Verifier(Scenario scenario, Records records) {
         this.records = records;
-        evidence = new Evidence(scenario, records);
-        responses = new ResponseRule(evidence, violations::add);
-        duplicates = new DuplicateRule(evidence, violations::add);
-        drains = new DrainRule(evidence, violations::add);
+        indexedRecords = new IndexedRecords(scenario, records);
+        responses = new ResponseRule(indexedRecords, violations::add);
+        duplicates = new DuplicateRule(indexedRecords, violations::add);
+        drains = new DrainRule(indexedRecords, violations::add);
     }
 
     /** Checks all rules and returns this verifier; called once. */
@@ -41,7 +41,7 @@
                 .filter(request -> request.outcome().equals("left"))
                 .forEach(this::checkAbandonedRequest);
         records.misbehavingClientViolations.forEach(responses::checkMisbehavingClient);
-        evidence.attemptsByRequest().forEach(duplicates::checkAttempts);
+        indexedRecords.attemptsByRequest().forEach(duplicates::checkAttempts);
         records.upstreamAttempts.forEach(drains::check);
         records.slowStartOverloads.forEach(this::reportSlowStartOverload);
         violations.sort(Comparator.comparingLong(Violation::at));
