--- a/lab/src/main/java/gorsestack/lab/run/FaultInjector.java
+++ b/lab/src/main/java/gorsestack/lab/run/FaultInjector.java
@@ -275,7 +275,10 @@
         }
     }
 
-    /** Crashes an upstream, and restarts it if there is a restart delay. Discovery publishes the crash after its failure detection delay. */
+    /**
+     * Crashes an upstream, and restarts it if there is a restart delay. Discovery publishes the crash after its failure detection delay if
+     * the upstream is still down.
+     */
     private void crash(Upstream upstream, double restartDelay) {
         upstream.crash();
         testbed.after(nanos(testbed.scenario.discovery().failureDetectionDelay()), () -> {
