--- a/lab/src/main/java/gorsestack/lab/standin/MisbehavingClients.java
+++ b/lab/src/main/java/gorsestack/lab/standin/MisbehavingClients.java
@@ -2,7 +2,7 @@
 
 import gorsestack.lab.net.Link;
 import gorsestack.lab.net.LinkHandler;
-import gorsestack.lab.verify.Records.ClientDeparture;
+import gorsestack.lab.verify.Records.ClientDisconnect;
 import gorsestack.lab.verify.Records.MisbehavingClientViolation;
 import gorsestack.lab.verify.Verifier;
 import io.netty.bootstrap.Bootstrap;
@@ -138,7 +138,7 @@
                 }
                 case SENDS_AND_LEAVES ->
                     ctx.writeAndFlush(bytes(request(id, timeLeftMs))).addListener(f -> {
-                        testbed.records.departures.add(new ClientDeparture(id, balancer, testbed.now()));
+                        testbed.records.clientDisconnects.add(new ClientDisconnect(id, balancer, testbed.now()));
                         ctx.close();
                     });
                 case LITTLE_TIME -> send(ctx, request(id, timeLeftMs));
--- a/lab/src/main/java/gorsestack/lab/verify/Records.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Records.java
@@ -140,7 +140,7 @@
     public record SecondSample(int second, int connections, int opened, long datagrams) {}
 
     /** The disconnect of a client while its request was in progress. */
-    public record ClientDeparture(String id, int balancer, long at) {}
+    public record ClientDisconnect(String id, int balancer, long at) {}
 
     /** A case in which a misbehaving client got neither the response nor the close that a balancer owes it. */
     public record MisbehavingClientViolation(
@@ -166,7 +166,7 @@
     public final List<ConnectionOpened> connectionsOpened = new ArrayList<>();
     public final List<SecondSample> secondSamples = new ArrayList<>();
     public final List<LoopDelay> loopDelays = new ArrayList<>();
-    public final List<ClientDeparture> departures = new ArrayList<>();
+    public final List<ClientDisconnect> clientDisconnects = new ArrayList<>();
     public final List<MisbehavingClientViolation> misbehavingClientViolations = new ArrayList<>();
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -190,7 +190,7 @@
                 new Kind<>("Fell", SlowStartOverload.class, slowStartOverloads),
                 new Kind<>("Happened", InjectedFault.class, injectedFaults),
                 new Kind<>("Lab", LoopDelay.class, loopDelays),
-                new Kind<>("Left", ClientDeparture.class, departures),
+                new Kind<>("Left", ClientDisconnect.class, clientDisconnects),
                 new Kind<>("ListCall", ListCall.class, listCalls),
                 new Kind<>("Process", ProcessEvent.class, processEvents),
                 new Kind<>("Rude", MisbehavingClientViolation.class, misbehavingClientViolations),
--- a/lab/src/main/java/gorsestack/lab/verify/ResponseRule.java
+++ b/lab/src/main/java/gorsestack/lab/verify/ResponseRule.java
@@ -1,6 +1,6 @@
 package gorsestack.lab.verify;
 
-import gorsestack.lab.verify.Records.ClientDeparture;
+import gorsestack.lab.verify.Records.ClientDisconnect;
 import gorsestack.lab.verify.Records.ClientRequest;
 import gorsestack.lab.verify.Records.ExtraResponse;
 import gorsestack.lab.verify.Records.MisbehavingClientViolation;
@@ -114,17 +114,17 @@
     }
 
     /** Checks that no attempt starts for a client that has disconnected. */
-    void checkAttemptsAfterDisconnect(ClientDeparture departure, String party) {
-        String clientLink = party + ">n" + departure.balancer();
-        for (UpstreamAttempt attempt : indexedRecords.attempts(departure.id())) {
-            if (attempt.balancer() == departure.balancer()
-                    && attempt.startedAt() > departure.at() + DISCONNECT_GRACE_NANOS + IndexedRecords.TOLERANCE_NANOS
-                    && startedByChoice(attempt, departure.at())
-                    && !indexedRecords.linkFaulted(clientLink, departure.at(), attempt.startedAt())) {
+    void checkAttemptsAfterDisconnect(ClientDisconnect disconnect, String party) {
+        String clientLink = party + ">n" + disconnect.balancer();
+        for (UpstreamAttempt attempt : indexedRecords.attempts(disconnect.id())) {
+            if (attempt.balancer() == disconnect.balancer()
+                    && attempt.startedAt() > disconnect.at() + DISCONNECT_GRACE_NANOS + IndexedRecords.TOLERANCE_NANOS
+                    && startedByChoice(attempt, disconnect.at())
+                    && !indexedRecords.linkFaulted(clientLink, disconnect.at(), attempt.startedAt())) {
                 report(
                         attempt.startedAt(),
-                        "n" + departure.balancer() + " sent " + departure.id() + " to u" + attempt.upstream() + " "
-                                + (attempt.startedAt() - departure.at()) / NANOS_PER_MS
+                        "n" + disconnect.balancer() + " sent " + disconnect.id() + " to u" + attempt.upstream() + " "
+                                + (attempt.startedAt() - disconnect.at()) / NANOS_PER_MS
                                 + " ms after its client disconnected");
             }
         }
--- a/lab/src/main/java/gorsestack/lab/verify/Verifier.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Verifier.java
@@ -1,7 +1,7 @@
 package gorsestack.lab.verify;
 
 import gorsestack.lab.scenario.Scenario;
-import gorsestack.lab.verify.Records.ClientDeparture;
+import gorsestack.lab.verify.Records.ClientDisconnect;
 import gorsestack.lab.verify.Records.ClientRequest;
 import gorsestack.lab.verify.Records.SlowStartOverload;
 import java.util.ArrayList;
@@ -36,7 +36,8 @@
     public Verifier verify() {
         records.clientRequests.forEach(this::checkRequest);
         records.extraResponses.forEach(responses::checkExtraResponse);
-        records.departures.forEach(departure -> responses.checkAttemptsAfterDisconnect(departure, MISBEHAVING_CLIENTS));
+        records.clientDisconnects.forEach(
+                disconnect -> responses.checkAttemptsAfterDisconnect(disconnect, MISBEHAVING_CLIENTS));
         records.clientRequests.stream()
                 .filter(request -> request.outcome().equals("left"))
                 .forEach(this::checkAbandonedRequest);
@@ -58,7 +59,7 @@
 
     private void checkAbandonedRequest(ClientRequest request) {
         responses.checkAttemptsAfterDisconnect(
-                new ClientDeparture(request.id(), request.balancer(), request.ended()), request.party());
+                new ClientDisconnect(request.id(), request.balancer(), request.ended()), request.party());
     }
 
     private void reportSlowStartOverload(SlowStartOverload overload) {
