--- a/lab/src/main/java/gorsestack/lab/cli/SoakCommand.java
+++ b/lab/src/main/java/gorsestack/lab/cli/SoakCommand.java
@@ -58,10 +58,10 @@
         int separator = seeds.indexOf(RANGE_SEPARATOR);
         String first = separator < 0 ? seeds : seeds.substring(0, separator);
         String last = separator < 0 ? seeds : seeds.substring(separator + RANGE_SEPARATOR.length());
-        return play(Long.parseLong(first), Long.parseLong(last));
+        return runSeeds(Long.parseLong(first), Long.parseLong(last));
     }
 
-    private int play(long first, long last) throws Exception {
+    private int runSeeds(long first, long last) throws Exception {
         Path root = deployment.root();
         Soak soak = new Soak(new Soak.Plan(
                 root,
@@ -73,12 +73,12 @@
                 true,
                 System.out));
         long deadline = System.nanoTime() + (long) (minutes * 60e9);
-        int played = 0;
+        int completed = 0;
         int failed = 0;
         int inconclusive = 0;
         for (long seed = first; seed <= last && System.nanoTime() < deadline; seed++) {
             Soak.Outcome outcome = soak.play(seed);
-            played++;
+            completed++;
             if (outcome.failed()) {
                 failed++;
                 System.out.println(
@@ -87,7 +87,7 @@
                 inconclusive++;
             }
         }
-        System.out.println(played + " seeds played, " + failed + " failed, " + inconclusive + " void");
+        System.out.println(completed + " seeds played, " + failed + " failed, " + inconclusive + " void");
         return failed > 0 ? 1 : inconclusive > 0 ? 3 : 0;
     }
 }
