--- a/lab/src/main/java/gorsestack/lab/cli/RunCommand.java
+++ b/lab/src/main/java/gorsestack/lab/cli/RunCommand.java
@@ -68,7 +68,7 @@
             clear(folder);
             RunResult result = new ScenarioRun(new ScenarioRun.Plan(
                             scenario, text, seed, root, command, previous, LabVersion.ofBalancer(), folder, System.err))
-                    .play();
+                    .run();
             ResultPrinter.print(result, folder);
             worst = worst == null ? result : worse(worst, result);
         }
--- a/lab/src/main/java/gorsestack/lab/run/ScenarioRun.java
+++ b/lab/src/main/java/gorsestack/lab/run/ScenarioRun.java
@@ -86,7 +86,7 @@
     /** The balancers, or null before their creation; also read by the shutdown hook. */
     private volatile BalancerFleet fleet;
 
-    /** Creates a run; {@link #play()} starts it. */
+    /** Creates a run; {@link #run()} starts it. */
     public ScenarioRun(Plan plan) {
         this.plan = plan;
         scenario = plan.scenario;
@@ -115,7 +115,7 @@
     }
 
     /** Runs the scenario, writes records, result and report to the output folder, and returns the result. */
-    public RunResult play() throws IOException, InterruptedException {
+    public RunResult run() throws IOException, InterruptedException {
         InternalErrors.clear();
         NETTY_LOGGER.setLevel(Level.OFF);
         Files.createDirectories(plan.output);
@@ -129,7 +129,7 @@
             testbed = new Testbed(scenario, group.next(), addresses, plan.seed);
             delayMonitor = new LoopDelayMonitor(testbed);
             try {
-                failure = play(addresses);
+                failure = run(addresses);
             } finally {
                 stopAll();
             }
@@ -147,7 +147,7 @@
     }
 
     /** Starts the stand-ins and the balancers and runs the load; returns the reason if the balancers did not start, otherwise null. */
-    private String play(Addresses addresses) throws IOException, InterruptedException {
+    private String run(Addresses addresses) throws IOException, InterruptedException {
         startStandIns(addresses);
         String failure = startFleet();
         if (failure != null) {
--- a/lab/src/main/java/gorsestack/lab/soak/Soak.java
+++ b/lab/src/main/java/gorsestack/lab/soak/Soak.java
@@ -78,7 +78,7 @@
                 .toAbsolutePath();
         Oracle oracle = new Oracle();
         RunResult result =
-                new ScenarioRun(runPlan(schedule, folder)).observedBy(oracle).play();
+                new ScenarioRun(runPlan(schedule, folder)).observedBy(oracle).run();
         oracle.checkLogs(folder);
         List<String> findings = new ArrayList<>(oracle.findings());
         if (result.verdict().equals(RunResult.FAIL)) {
--- a/lab/src/test/java/gorsestack/lab/LabTest.java
+++ b/lab/src/test/java/gorsestack/lab/LabTest.java
@@ -66,7 +66,7 @@
                             "test",
                             folder.resolve("run"),
                             discarded))
-                    .play();
+                    .run();
         }
         Assumptions.assumeFalse(result.verdict().equals("VOID"), result.line());
         return result;
--- a/lab/src/test/java/gorsestack/lab/soak/SoakTest.java
+++ b/lab/src/test/java/gorsestack/lab/soak/SoakTest.java
@@ -136,7 +136,7 @@
                         "test",
                         out,
                         DISCARDED))
-                .play();
+                .run();
         String log = Files.readString(out.resolve("n0/log"));
         assertTrue(log.contains("accept failed"), log);
         assertFalse(log.contains("violation"), log);
