--- a/lab/src/main/java/gorsestack/lab/verify/Verifier.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Verifier.java
@@ -1,7 +1,7 @@
 package gorsestack.lab.verify;
 
 import gorsestack.lab.scenario.Scenario;
-import gorsestack.lab.verify.Records.ClientDeparture;
+import gorsestack.lab.verify.Records.ClientDisconnect;
 import gorsestack.lab.verify.Records.ClientRequest;
 import gorsestack.lab.verify.Records.SlowStartOverload;
 import java.util.ArrayList;
@@ -9,39 +9,40 @@
 import java.util.List;
 
 /**
- * Checks whether a fleet kept the four rules, by what clients, upstreams and discovery observed. Reports of the balancers themselves are not
- * used.
+ * Checks whether a fleet complied with the four rules, based on what clients, upstreams and discovery observed; reports of the balancers
+ * themselves are not used. A result is computed from one verifier on a single thread, either after a run or from stored records.
  */
 public final class Verifier {
-    /** The party that misbehaving clients belong to; names their links. */
+    /** The party that misbehaving clients belong to, which is part of the names of their links. */
     public static final String MISBEHAVING_CLIENTS = "clients-rude";
 
     private final Records records;
-    private final Evidence evidence;
+    private final IndexedRecords indexedRecords;
     private final List<Violation> violations = new ArrayList<>();
     private final ResponseRule responses;
     private final DuplicateRule duplicates;
     private final DrainRule drains;
 
-    /** A verifier of the records of one run. */
+    /** Creates a verifier of the records of one run. */
     public Verifier(Scenario scenario, Records records) {
         this.records = records;
-        evidence = new Evidence(scenario, records);
-        responses = new ResponseRule(evidence, violations::add);
-        duplicates = new DuplicateRule(evidence, violations::add);
-        drains = new DrainRule(evidence, violations::add);
+        indexedRecords = new IndexedRecords(scenario, records);
+        responses = new ResponseRule(indexedRecords, violations::add);
+        duplicates = new DuplicateRule(indexedRecords, violations::add);
+        drains = new DrainRule(indexedRecords, violations::add);
     }
 
-    /** Checks all rules. */
+    /** Checks all rules and returns this verifier; called once. */
     public Verifier verify() {
         records.clientRequests.forEach(this::checkRequest);
         records.extraResponses.forEach(responses::checkExtraResponse);
-        records.departures.forEach(departure -> responses.checkAttemptsAfterDeparture(departure, MISBEHAVING_CLIENTS));
+        records.clientDisconnects.forEach(
+                disconnect -> responses.checkAttemptsAfterDisconnect(disconnect, MISBEHAVING_CLIENTS));
         records.clientRequests.stream()
                 .filter(request -> request.outcome().equals("left"))
                 .forEach(this::checkAbandonedRequest);
         records.misbehavingClientViolations.forEach(responses::checkMisbehavingClient);
-        evidence.attemptsByRequest().forEach(duplicates::checkAttempts);
+        indexedRecords.attemptsByRequest().forEach(duplicates::checkAttempts);
         records.upstreamAttempts.forEach(drains::check);
         records.slowStartOverloads.forEach(this::reportSlowStartOverload);
         violations.sort(Comparator.comparingLong(Violation::at));
@@ -57,24 +58,24 @@
     }
 
     private void checkAbandonedRequest(ClientRequest request) {
-        responses.checkAttemptsAfterDeparture(
-                new ClientDeparture(request.id(), request.balancer(), request.ended()), request.party());
+        responses.checkAttemptsAfterDisconnect(
+                new ClientDisconnect(request.id(), request.balancer(), request.ended()), request.party());
     }
 
     private void reportSlowStartOverload(SlowStartOverload overload) {
         violations.add(new Violation(
                 Violation.OVERLOAD,
                 overload.at(),
-                "u" + overload.upstream() + ", cold, was offered " + Math.round(overload.offered())
-                        + " ms of work where it could do " + Math.round(overload.capacity())));
+                "u" + overload.upstream() + ", in slow start, was offered " + Math.round(overload.offered())
+                        + " ms of work, with a capacity of " + Math.round(overload.capacity())));
     }
 
-    /** All violations found, by their time. */
+    /** Returns all violations, ordered by time. */
     public List<Violation> violations() {
         return violations;
     }
 
-    /** The number of requests that got no correct response in time. */
+    /** Returns the number of requests that got no correct response in time. */
     public int lostCalls() {
         return responses.lostCalls();
     }
