--- a/balancer/src/main/java/gorsestack/proxy/CallDispatcher.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallDispatcher.java
@@ -343,7 +343,7 @@
         clients.evacuate(evacuate);
     }
 
-    /** Shares the resources while another process of this balancer runs; {@code otherAccepts} while both accept clients. */
+    /** Adjusts this process's quota to whether another process of this balancer runs and whether it accepts clients. */
     public void shareWithAnotherProcess(boolean otherRuns, boolean otherAccepts) {
         maintenance.shareWithAnotherProcess(otherRuns, otherAccepts, shuttingDown);
     }
--- a/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
@@ -269,13 +269,19 @@
         return bufferBudget;
     }
 
-    /** Suspends the reuse of connections for calls that may not be repeated: they are lost where upstreams close idle ones. */
+    /**
+     * Suspends the reuse of connections for calls that may not be repeated. Such a call would be lost if the upstream closed an idle
+     * connection just as the request is sent on it.
+     */
     @Override
     public void reusedConnectionLost() {
         reuseQuarantineUntil = eventLoop.now() + limits.upstream().quarantineNanos();
     }
 
-    /** Limits the abandoned connects to an upstream that is down to one: one connection established late is useful, a dozen are not. */
+    /**
+     * Returns whether a connect that no attempt waits for may continue: at most one for each upstream. If an upstream is down, one
+     * connection that is established late is useful, a dozen are not.
+     */
     @Override
     public boolean mayContinueConnecting(UpstreamConnection connection) {
         return acceptsRequests(connection)
--- a/balancer/src/main/java/gorsestack/server/BalancerServer.java
+++ b/balancer/src/main/java/gorsestack/server/BalancerServer.java
@@ -209,7 +209,7 @@
                                 reason))));
     }
 
-    /** Reduces the load on discovery while many balancers of the fleet start at the same time. */
+    /** Spreads the retries that clients are advised to make out over more time while many balancers of the fleet start at once. */
     private void throttleRestartStorm() {
         long listDeadlineNanos = configuration.settings().rules().watchDeadline();
         RestartStormDetector restartStormDetector = new RestartStormDetector(eventLoop.now(), listDeadlineNanos);
@@ -342,10 +342,10 @@
         }
 
         @Override
-        public void ordersChanged(Map<String, PersistentState.MaintenanceOrder> all) {
-            maintenanceOrders = all;
+        public void ordersChanged(Map<String, PersistentState.MaintenanceOrder> orders) {
+            maintenanceOrders = orders;
             if (peerExchange != null) {
-                peerExchange.replicateOrders(all);
+                peerExchange.replicateOrders(orders);
             }
         }
 
--- a/balancer/src/main/java/gorsestack/settings/UpstreamLimits.java
+++ b/balancer/src/main/java/gorsestack/settings/UpstreamLimits.java
@@ -18,10 +18,12 @@
  * @param quarantineReuseDelayNanos the same for an upstream in quarantine: ten times as long
  * @param quarantineNanos how long the longer delay applies after an upstream has sent a second response to one request. A new connection
  *     costs the upstream a hundredth of a call, and the fault, where it occurs, recurs every second or two.
- * @param responseStallTimeoutNanos the longest pause within a response that is buffered before it is forwarded: twice the longest pause
- *     that occurs in a day, as upstreams write such a response at once and its body has 64 KiB at most
- * @param streamStallTimeoutNanos the longest pause within a body that is being forwarded, in either direction. Such a body cannot be
- *     requested from another upstream, and a sender or receiver that pauses for longer has stopped.
+ * @param responseStallTimeoutNanos the longest pause within a response whose body has at most {@link BufferLimits#bodyBytes()}, or before
+ *     a larger response is buffered or forwarded: twice the longest pause that occurs in a day, as upstreams write a small response at
+ *     once. A larger response that is buffered is forwarded after this time even if it is incomplete.
+ * @param streamStallTimeoutNanos the longest pause within a body that is being forwarded, in either direction, or within a larger response
+ *     that is buffered. A body that is being forwarded cannot be requested from another upstream, and a sender or receiver that pauses for
+ *     longer has stopped.
  * @param drainGraceNanos the time after which a request that is sent to a draining upstream counts as an invariant violation; not used
  *     for decisions
  */
