--- a/balancer/src/main/java/gorsestack/proxy/ClientConnectionManager.java
+++ b/balancer/src/main/java/gorsestack/proxy/ClientConnectionManager.java
@@ -15,10 +15,10 @@
  * queued after the input read so far, so that none is closed while a call of its client is queued.
  */
 public final class ClientConnectionManager {
-    /** The number of ranks that may be closed, lowest first; see {@link ClientConnection#closePriority()}. */
-    private static final int CLOSABLE_RANKS = 3;
-    /** The rank of idle connections that have had a response. */
-    private static final int IDLE_SERVED_RANK = 2;
+    /** The number of priorities at which connections are closed, lowest first; see {@link ClientConnection#closePriority()}. */
+    private static final int CLOSABLE_PRIORITIES = 3;
+    /** The priority of connections that have been idle for long after an earlier request. */
+    private static final int IDLE_PRIORITY = 2;
 
     private final EventLoop eventLoop;
     private final Limits limits;
@@ -79,8 +79,8 @@
     /** Closes connections over the limit. Prevents clients that are idle or never send a call from excluding those that do. */
     private void enforceLimit() {
         int excess = open.size() - maxConnections;
-        for (int rank = 0; rank < CLOSABLE_RANKS && excess > 0; rank++) {
-            excess -= closeOldest(rank, excess);
+        for (int priority = 0; priority < CLOSABLE_PRIORITIES && excess > 0; priority++) {
+            excess -= closeOldest(priority, excess);
         }
         if (excess > 0 && !limitCheckScheduled) {
             limitCheckScheduled = true;
@@ -91,10 +91,10 @@
         }
     }
 
-    /** Closes up to {@code maxCount} connections of one rank, the oldest first, and returns how many. */
-    private int closeOldest(int rank, int maxCount) {
+    /** Closes up to {@code maxCount} connections of one priority, the oldest first, and returns how many. */
+    private int closeOldest(int priority, int maxCount) {
         List<ClientConnection> chosen = open.stream()
-                .filter(connection -> connection.closePriority() == rank)
+                .filter(connection -> connection.closePriority() == priority)
                 .limit(maxCount)
                 .toList();
         chosen.forEach(ClientConnection::evict);
@@ -165,7 +165,7 @@
     void sweep() {
         eventLoop.execute(() -> {
             List.copyOf(open).forEach(ClientConnection::giveUpIfOverdue);
-            closeOldest(IDLE_SERVED_RANK, Math.max(0, open.size() - maxConnections / 2));
+            closeOldest(IDLE_PRIORITY, Math.max(0, open.size() - maxConnections / 2));
             if (closing) {
                 closeIdle(connection -> true);
             }
