--- a/balancer/src/test/java/gorsestack/proxy/HedgeOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/HedgeOrderingTest.java
@@ -62,7 +62,7 @@
             hedge.release();
             rig.runPending();
             rig.advance(2_000);
-            assertEquals(0, hedge.sentCount, "the hedge was sent after the window");
+            assertEquals(0, hedge.sentCount, "the hedged request was sent after the window");
         }
     }
 
--- a/balancer/src/test/java/gorsestack/proxy/ShutdownOrderingTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/ShutdownOrderingTest.java
@@ -27,10 +27,10 @@
             client.setSoTimeout(SocketRig.TIMEOUT_MILLIS);
             rig.awaitWithoutRunning(() -> rig.network.accepted() == 1);
             rig.awaitQueuedTask();
-            AtomicInteger ended = new AtomicInteger();
+            AtomicInteger allClosedCount = new AtomicInteger();
             rig.network.stopAccepting();
-            rig.dispatcher.clients().onAllClosed(ended::incrementAndGet);
-            assertEquals(0, ended.get());
+            rig.dispatcher.clients().onAllClosed(allClosedCount::incrementAndGet);
+            assertEquals(0, allClosedCount.get());
             send(client, request("read", "c"));
             rig.runUntil(() -> rig.clientSpy(0).receivedCount > 0);
             Socket upstream = rig.acceptRequest(0);
@@ -39,12 +39,12 @@
             assertTrue(readMessage(client).endsWith("served"));
             rig.dispatcher.clients().closeAll();
             rig.runUntil(() -> rig.clientSpy(0).closedCount > 0);
-            assertEquals(0, ended.get(), "the process does not end while the socket is open");
+            assertEquals(0, allClosedCount.get(), "the process does not end while the socket is open");
             assertEquals("", readToEnd(client));
             client.close();
             rig.awaitWithoutRunning(() -> rig.network.accepted() == 0);
             rig.advance(100);
-            assertEquals(1, ended.get());
+            assertEquals(1, allClosedCount.get());
         }
     }
 
@@ -64,17 +64,17 @@
             rig.dispatcher.shutDown(rig.now() + 3_000 * SocketRig.MS, false);
             rig.dispatcher.clients().closeAll();
             send(upstream, ok(body));
-            AtomicInteger ended = new AtomicInteger();
+            AtomicInteger allClosedCount = new AtomicInteger();
             rig.network.stopAccepting();
-            rig.dispatcher.clients().onAllClosed(ended::incrementAndGet);
+            rig.dispatcher.clients().onAllClosed(allClosedCount::incrementAndGet);
             rig.runUntil(() -> rig.clientSpy(0).channel.unsent() > 0 || rig.clientSpy(0).sentCount > 0);
             String output = readToEnd(client);
             assertTrue(output.endsWith("\r\n\r\n" + body), output.length() + " bytes");
-            assertEquals(0, ended.get());
+            assertEquals(0, allClosedCount.get());
             client.close();
             rig.awaitWithoutRunning(() -> rig.network.accepted() == 0);
             rig.advance(100);
-            assertEquals(1, ended.get());
+            assertEquals(1, allClosedCount.get());
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/server/MixedDeploymentsTest.java
+++ b/balancer/src/test/java/gorsestack/server/MixedDeploymentsTest.java
@@ -225,7 +225,7 @@
         for (int deployment = 0; deployment < 2; deployment++) {
             assertTrue(
                     served[deployment].get() > 0.9 * sent[deployment].get(),
-                    "kind " + deployment + ": " + served[deployment] + " of " + sent[deployment]);
+                    "deployment " + deployment + ": " + served[deployment] + " of " + sent[deployment]);
         }
         assertTrue(
                 balancers.get(BALANCERS_PER_DEPLOYMENT).peerMessages.get()
--- a/balancer/src/test/java/gorsestack/server/ProcessLifecycleTest.java
+++ b/balancer/src/test/java/gorsestack/server/ProcessLifecycleTest.java
@@ -148,7 +148,7 @@
         }
     }
 
-    /** Guards against a SIGTERM during the start that is lost or ends the JVM with an error. */
+    /** Guards against a SIGTERM during the start that is lost, so that the process keeps listening, or that ends the JVM with an error. */
     @Test
     void exitsAfterStartWhenSigtermArrivesDuringStart() throws Exception {
         String text = configuration();
@@ -221,7 +221,10 @@
         }
     }
 
-    /** Guards against a start with a misspelled setting, which must fail with exit code 2 and one line that names the setting. */
+    /**
+     * Guards against a process that listens although a setting is misspelled. The start must fail with exit code 2 and one line that names
+     * the setting.
+     */
     @Test
     void exitsWithErrorThatNamesMissingSetting() throws Exception {
         Path file = folder.resolve("config.json");
--- a/balancer/src/test/java/gorsestack/server/UpgradeTest.java
+++ b/balancer/src/test/java/gorsestack/server/UpgradeTest.java
@@ -108,10 +108,10 @@
     private int configure() throws Exception {
         StringBuilder known = new StringBuilder();
         for (int i = 0; i < requests.length; i++) {
-            int n = i;
+            int index = i;
             HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100);
             server.createContext("/", exchange -> {
-                requests[n].incrementAndGet();
+                requests[index].incrementAndGet();
                 exchange.getRequestBody().readAllBytes();
                 exchange.sendResponseHeaders(200, 2);
                 exchange.getResponseBody().write(new byte[] {'o', 'k'});
@@ -185,9 +185,14 @@
         Thread.sleep(600);
         int[] countsBefore = {requests[0].get(), requests[1].get(), requests[2].get()};
         Thread.sleep(600);
-        assertEquals(countsBefore[0], requests[0].get(), "s0 was withdrawn before the second process started");
         assertEquals(
-                countsBefore[1], requests[1].get(), "s1 was withdrawn in both processes by an order to the second one");
+                countsBefore[0],
+                requests[0].get(),
+                "no request to s0, which was put into maintenance before the second process started");
+        assertEquals(
+                countsBefore[1],
+                requests[1].get(),
+                "no request to s1, which an order to the second process put into maintenance in both");
         assertTrue(requests[2].get() > countsBefore[2]);
         assertEquals(200, adminRequest(first, "GET", "/healthcheck"));
         predecessor.destroy();
@@ -230,14 +235,14 @@
     /** Returns the output of the command {@code status --json} and checks its exit code. */
     private static String status(int mgmt, int code) {
         java.io.ByteArrayOutputStream out = new java.io.ByteArrayOutputStream();
-        java.io.PrintStream before = System.out;
+        java.io.PrintStream originalOut = System.out;
         System.setOut(new java.io.PrintStream(out, true, java.nio.charset.StandardCharsets.UTF_8));
         try {
             assertEquals(
                     code,
                     new picocli.CommandLine(new gorsestack.Main()).execute("status", "--json", "127.0.0.1:" + mgmt));
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
         }
         return out.toString(java.nio.charset.StandardCharsets.UTF_8);
     }
@@ -304,7 +309,7 @@
         for (int i = 0; i < 20; i++) {
             assertEquals(200, read(port, "b" + i));
         }
-        assertEquals(before, requests[0].get(), "s0 stays withdrawn after the kill");
+        assertEquals(before, requests[0].get(), "s0 stays in maintenance after the kill");
         String coldStatus = status(restartedMgmt, 0);
         assertTrue(
                 coldStatus.contains("\"step\":\"cold\"")
@@ -340,7 +345,7 @@
     @Test
     void restoresMaintenanceOrdersFromPeersWhenStateIsLost() throws Exception {
         configure();
-        String one = Files.readString(folder.resolve("config.json"));
+        String baseConfig = Files.readString(folder.resolve("config.json"));
         List<Integer> ports = List.of(port(), port(), port());
         List<String> peers = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -356,7 +361,8 @@
             mgmts.add(port());
             Files.writeString(
                     configs.get(i),
-                    one.replaceFirst(
+                    baseConfig
+                            .replaceFirst(
                                     "\"name\": \"n1\"",
                                     "\"name\": \"n" + i + "\", \"peers\": " + peers + ", \"state\": \""
                                             + own.resolve("state") + "\"")
@@ -382,12 +388,12 @@
             }
         }
         run(configs.get(0), configs.get(0).getParent(), mgmts.get(0), "-Xmx40m");
-        until("s0 is withdrawn again", () -> status(mgmts.get(0)).contains("\"outByHand\":[\"s0\"]"));
+        until("s0 is in maintenance again", () -> status(mgmts.get(0)).contains("\"outByHand\":[\"s0\"]"));
         assertTrue(incarnation(status(mgmts.get(0))) > before);
         for (int i = 0; i < 10; i++) {
             assertEquals(200, read(ports.get(0), "x" + i));
         }
-        assertEquals(0, requests[0].get(), "s0 stays withdrawn after the state folder is lost");
+        assertEquals(0, requests[0].get(), "s0 stays in maintenance after the state folder is lost");
         assertTrue(status(mgmts.get(0)).contains("\"droppedBad\":0"), status(mgmts.get(0)));
     }
 
