--- a/balancer/src/main/java/gorsestack/admin/ProcessPresence.java
+++ b/balancer/src/main/java/gorsestack/admin/ProcessPresence.java
@@ -9,8 +9,8 @@
 
 /**
  * Shows which processes of one balancer run and which of them accept clients, by locks on byte ranges of a file that stays empty. The
- * operating system releases the locks of a process when it ends, even after a crash. Used by {@link Handover}, mostly on the handover's
- * thread.
+ * operating system releases the locks of a process when it ends, even after a crash. Used by {@link Handover} on the handover's thread and,
+ * when this process starts and when it starts or stops accepting clients, on the caller's thread.
  *
  * <p>Each process owns a slot of two bytes, in the order in which the processes started. The first byte is locked while the process runs,
  * the second one while it accepts clients. One byte behind all slots is a mutex for writes to the shared state file.
--- a/balancer/src/main/java/gorsestack/admin/SharedStateFile.java
+++ b/balancer/src/main/java/gorsestack/admin/SharedStateFile.java
@@ -12,7 +12,7 @@
 /**
  * State file that all processes of one balancer read and write. It holds maintenance orders, learned state and the endpoint snapshot. A
  * write first merges the content of the file, under a lock, so that no process overwrites changes of another one. Used by {@link Handover}
- * on the handover's thread.
+ * on the handover's thread; loaded the first time on the thread that creates the handover.
  */
 final class SharedStateFile {
     private static final System.Logger LOG = System.getLogger("gorsestack.handover");
--- a/balancer/src/main/java/gorsestack/recovery/RestorePolicy.java
+++ b/balancer/src/main/java/gorsestack/recovery/RestorePolicy.java
@@ -144,8 +144,8 @@
     }
 
     /**
-     * Reduces the concurrency limit of each locality that has fewer upstreams in the list of discovery than when its state was learned, in
-     * proportion to the number of upstreams.
+     * Reduces the concurrency limit of each locality that has lost more than a tenth of its upstreams since its state was learned, by the
+     * list of discovery. The limit is reduced in proportion to the number of upstreams.
      *
      * @param restored learned state that was restored at the start
      * @param current current learned state of the same localities
--- a/balancer/src/main/java/gorsestack/wire/ClientRequestHandler.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientRequestHandler.java
@@ -12,7 +12,7 @@
      * Called when a request is complete, or its head is and its body will be relayed. The response goes to
      * {@link ClientConnection#respond}.
      *
-     * @param arrivedAt when the latest of its bytes were read, on the event loop's clock
+     * @param arrivedAt when its last byte was read, or the last one so far of a relayed body, on the event loop's clock
      */
     void call(ClientConnection from, Request request, long arrivedAt);
 
--- a/balancer/src/main/java/gorsestack/wire/ClientTimings.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientTimings.java
@@ -47,7 +47,7 @@
         return now - lastProgressAt >= limits.client().stallTimeoutNanos();
     }
 
-    /** Returns whether a request takes too long. A body that arrives slowly is accepted; one that has stopped arriving is not. */
+    /** Returns whether a request takes too long. A body may arrive slowly, down to a minimum rate, but must not stop arriving. */
     boolean requestOverdue(long now, HttpParser parser) {
         if (parser.head() == null) {
             return now - requestBegunAt >= limits.client().requestHeadTimeoutNanos();
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -219,8 +219,8 @@
     private void responseComplete(boolean moreBytes) throws MalformedMessageException {
         buffering.release();
         MessageHead head = parser.head();
-        // A response before the end of the request is a second copy of the previous response, not the response to this
-        // request. Only a large request may be rejected before its end.
+        // A response before the end of the request may be a second copy of the previous response and must not be taken
+        // for the response to this request. Only a large request may be rejected before its end.
         if (!request.written() && (upload == null || head.start[1].equals("200"))) {
             throw new MalformedMessageException(502, "a response arrived before its request was sent");
         }
--- a/balancer/src/test/java/gorsestack/recovery/PeerRecoveryTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/PeerRecoveryTest.java
@@ -337,7 +337,7 @@
 
     /**
      * Without responses a restart causes at most 15 messages per balancer in 30 s. With responses it causes at most 10 more in the first
-     * second, and at most 15 more in the first minute.
+     * second, as no peer sends more than 10 responses in a second, and at most 15 more in the first minute.
      */
     @Test
     void boundsMessagesWhenAllBalancersRestart() {
