--- a/balancer/src/main/java/gorsestack/recovery/PeerRecovery.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerRecovery.java
@@ -159,8 +159,7 @@
         if (peers.isStale(sender, message)) {
             stale++;
             // After its clock was set back, a peer's current process may have a lower incarnation than the previous
-            // one.
-            // The response contains the incarnation that it has to exceed.
+            // one. The response contains the incarnation that it has to exceed.
             if (peers.takeStaleResponsePermit(now, sender, message.kind() == Kind.STATE_REQUEST)) {
                 respond(now, sender);
             }
--- a/balancer/src/main/java/gorsestack/wire/ClientConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientConnection.java
@@ -184,7 +184,7 @@
             return;
         }
         // Requests sent ahead have been accepted and must have their responses. A client that pipelines may be sending
-        // one now: its response does not announce the close, and the socket decides after that response.
+        // one now, so this response does not announce the close to it; the socket decides after the response.
         lastResponse |=
                 (reader.overflowed() || (handler.closing() && !reader.pipelining() && !channel.hasUnhandledInput()))
                         && !reader.hasReadAhead();
@@ -202,7 +202,7 @@
         }
     }
 
-    /** Sends an early response, then reads the rest of the body: a client whose connection closes as it sends misses the response. */
+    /** Sends an early response, then reads the rest of the body: a client that still sends on a closed connection misses the response. */
     private void respondEarly(Response response) {
         enter(State.ENDING);
         lingering = true;
--- a/balancer/src/main/java/gorsestack/wire/HttpParser.java
+++ b/balancer/src/main/java/gorsestack/wire/HttpParser.java
@@ -234,8 +234,8 @@
         }
         int status = request ? 0 : (int) number(parsed.start[1], 10);
         if (!request && status >= 100 && status < 200) {
-            // An interim response is skipped, and the final one follows. Their total size is limited, as an upstream
-            // could send interim responses without an end.
+            // Interim responses are skipped until the final one arrives. Their total size is limited, as an upstream
+            // could send them without an end.
             interimBytes += bytes.length;
             if (interimBytes > maxHeadBytes || status == 101) {
                 throw new MalformedMessageException(502, "interim responses are too long or switch protocols");
--- a/balancer/src/main/java/gorsestack/wire/PeerSocket.java
+++ b/balancer/src/main/java/gorsestack/wire/PeerSocket.java
@@ -41,7 +41,7 @@
     /**
      * Listens on this balancer's own address.
      *
-     * @param addresses addresses of all balancers, in the same order on each
+     * @param addresses addresses of all balancers, in the same order on every balancer
      * @param ownIndex index of this balancer in that list
      */
     public PeerSocket(List<InetSocketAddress> addresses, int ownIndex, EventLoop eventLoop, Listener listener)
