--- a/balancer/src/main/java/gorsestack/admin/AdminServer.java
+++ b/balancer/src/main/java/gorsestack/admin/AdminServer.java
@@ -44,7 +44,7 @@
         }
 
         /** Starts or stops logging of each step of each call. */
-        default void trace(boolean on) {}
+        default void trace(boolean enabled) {}
 
         /** Starts to send clients to other balancers, or accepts them again. */
         void evacuate(boolean evacuating);
--- a/balancer/src/main/java/gorsestack/wire/HttpParser.java
+++ b/balancer/src/main/java/gorsestack/wire/HttpParser.java
@@ -188,11 +188,11 @@
         if (length == 2 && lineStart == 0) {
             line.reset(); // An empty line ahead of a message is ignored.
         } else if (length <= 2) {
-            byte[] all = line.toByteArray();
-            if (length == 1 || all[lineStart] != '\r') {
+            byte[] headBytes = line.toByteArray();
+            if (length == 1 || headBytes[lineStart] != '\r') {
                 throw new MalformedMessageException(400, "a line ends without a carriage return");
             }
-            headComplete(Arrays.copyOf(all, lineStart));
+            headComplete(Arrays.copyOf(headBytes, lineStart));
         } else {
             lineStart = line.size();
         }
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -42,7 +42,7 @@
 
     private boolean closed;
     /** Whether the upstream accepts no new requests; also read by the sockets' thread. */
-    private volatile boolean withdrawn;
+    private volatile boolean noNewRequests;
 
     /** Creates a connection that has not been opened yet. */
     public UpstreamConnection(
@@ -95,7 +95,7 @@
      */
     private boolean mayBeSent(AttemptListener current) {
         long now = eventLoop.now();
-        return request.release(now, !withdrawn && current.mayBeSent());
+        return request.release(now, !noNewRequests && current.mayBeSent());
     }
 
     @Override
@@ -344,7 +344,7 @@
 
     /** Stops new requests, as the upstream accepts none: a request that has not begun to be sent is not sent. */
     public void withdraw() {
-        withdrawn = true;
+        noNewRequests = true;
         if (connecting()) {
             end(Outcome.NOT_SENT); // The connection is closed when it has been established.
         }
--- a/balancer/src/test/java/gorsestack/recovery/PeerRecoveryTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/PeerRecoveryTest.java
@@ -373,8 +373,8 @@
         // Balancer 1 runs the previous version: it sends messages without a header, and accepts no others.
         for (int i = 0; i < 100; i++) {
             assertArrayEquals(LOAD_REPORT, current.recovery.receive(fleet.now, 1, LOAD_REPORT));
-            byte[] out = current.recovery.encodeLoadReport(fleet.now, 1, LOAD_REPORT);
-            assertArrayEquals(LOAD_REPORT, out);
+            byte[] encoded = current.recovery.encodeLoadReport(fleet.now, 1, LOAD_REPORT);
+            assertArrayEquals(LOAD_REPORT, encoded);
             fleet.run(fleet.now + SECOND);
         }
         assertTrue(fleet.sent <= 3 + 3, "at most one HELLO per minute: " + fleet.sent);
--- a/balancer/src/test/java/gorsestack/recovery/SnapshotStoreTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/SnapshotStoreTest.java
@@ -169,10 +169,10 @@
         }
 
         @Override
-        public void rename(String from, String to) throws IOException {
+        public void rename(String oldName, String newName) throws IOException {
             step();
-            assertNotNull(files.get(from), from);
-            files.put(to, files.remove(from));
+            assertNotNull(files.get(oldName), oldName);
+            files.put(newName, files.remove(oldName));
         }
 
         @Override
--- a/balancer/src/test/java/gorsestack/wire/HttpParserTest.java
+++ b/balancer/src/test/java/gorsestack/wire/HttpParserTest.java
@@ -25,15 +25,15 @@
     /** Feeds the text in two pieces, or byte by byte if the cut is 0, and checks that the parser stops at the end of the message. */
     private static HttpParser parseInPieces(boolean request, String text, int cut) throws MalformedMessageException {
         HttpParser parser = request ? HttpParser.request(LIMITS) : HttpParser.response(LIMITS);
-        byte[] all = bytes(text + "more");
+        byte[] input = bytes(text + "more");
         if (cut == 0) {
             for (int i = 0; i < text.length(); i++) {
                 assertFalse(parser.done(), "done at byte " + i);
-                assertEquals(i + 1, parser.feed(all, i, i + 1));
+                assertEquals(i + 1, parser.feed(input, i, i + 1));
             }
         } else {
-            assertEquals(cut, parser.feed(all, 0, cut));
-            assertEquals(text.length(), parser.feed(all, cut, all.length));
+            assertEquals(cut, parser.feed(input, 0, cut));
+            assertEquals(text.length(), parser.feed(input, cut, input.length));
         }
         assertTrue(parser.done());
         return parser;
@@ -85,9 +85,9 @@
     /** A response without a length ends with its connection, and a header field may be folded over several lines. */
     @Test
     void parsesFoldedLinesAndResponseThatEndsWithConnection() throws MalformedMessageException {
-        byte[] all = bytes("HTTP/1.1 200 OK\r\nX-A: b\r\n\tc\r\n  d\r\nX-E: f\r\n\r\nabc");
+        byte[] message = bytes("HTTP/1.1 200 OK\r\nX-A: b\r\n\tc\r\n  d\r\nX-E: f\r\n\r\nabc");
         HttpParser parser = HttpParser.response(LIMITS);
-        parser.feed(all, 0, all.length);
+        parser.feed(message, 0, message.length);
         assertFalse(parser.done());
         parser.end();
         assertTrue(parser.done());
@@ -143,13 +143,13 @@
                         .append("\r\n\r\n")
                         .append(content);
             }
-            byte[] all = bytes(text.toString());
+            byte[] message = bytes(text.toString());
             HttpParser atOnce = HttpParser.response(LIMITS);
             HttpParser pieces = HttpParser.response(LIMITS);
-            assertEquals(all.length, atOnce.feed(all, 0, all.length));
-            for (int position = 0; position < all.length; ) {
-                int end = Math.min(all.length, position + 1 + random.nextInt(7));
-                assertEquals(end, pieces.feed(all, position, end));
+            assertEquals(message.length, atOnce.feed(message, 0, message.length));
+            for (int position = 0; position < message.length; ) {
+                int end = Math.min(message.length, position + 1 + random.nextInt(7));
+                assertEquals(end, pieces.feed(message, position, end));
                 position = end;
             }
             assertTrue(atOnce.done() && pieces.done(), text.toString());
@@ -160,12 +160,12 @@
     }
 
     private static int rejectionStatus(boolean request, String text) {
-        byte[] all = bytes(text);
+        byte[] message = bytes(text);
         HttpParser parser = request ? HttpParser.request(LIMITS) : HttpParser.response(LIMITS);
         return assertThrows(
                         MalformedMessageException.class,
                         () -> {
-                            parser.feed(all, 0, all.length);
+                            parser.feed(message, 0, message.length);
                             Request.of(parser.head(), parser.body(), null);
                         },
                         text)
--- a/balancer/src/test/java/gorsestack/wire/SegmentationTest.java
+++ b/balancer/src/test/java/gorsestack/wire/SegmentationTest.java
@@ -96,11 +96,11 @@
             positions.add(cuts < 0 ? i : random.nextInt(bytes.length + 1));
         }
         List<byte[]> pieces = new ArrayList<>();
-        int from = 0;
+        int start = 0;
         for (int i = 1; i <= bytes.length; i++) {
             if (i == bytes.length || positions.contains(i)) {
-                pieces.add(Arrays.copyOfRange(bytes, from, i));
-                from = i;
+                pieces.add(Arrays.copyOfRange(bytes, start, i));
+                start = i;
             }
         }
         return pieces;
