--- a/balancer/src/main/java/gorsestack/recovery/StateCodec.java
+++ b/balancer/src/main/java/gorsestack/recovery/StateCodec.java
@@ -47,7 +47,10 @@
         return new Writer().write(state);
     }
 
-    /** Reads the text form of this version or of version 0.5. From any other text it reads the records that can be verified. */
+    /**
+     * Reads the text form of this version or of version 0.5. From a damaged text, or one of a later version, it reads only the maintenance
+     * orders that can be verified.
+     */
     public static DecodedState read(String text) {
         if (text.isEmpty()) {
             return DecodedState.damaged(PersistentState.NONE, "it is empty");
--- a/balancer/src/main/java/gorsestack/wire/SessionChannel.java
+++ b/balancer/src/main/java/gorsestack/wire/SessionChannel.java
@@ -203,8 +203,8 @@
     }
 
     /**
-     * Counts discarded bytes and stops reading at a limit. Without this, the bytes that a misbehaving client still sends, 60 MB at full
-     * speed, would cost as much as a call of another client.
+     * Counts discarded bytes and, at a limit, stops reading or closes the connection. Without this, the bytes that a misbehaving client
+     * still sends, 60 MB at full speed, would cost as much as a call of another client.
      */
     void countDiscarded(int bytes) {
         discardedBytes += bytes;
