--- a/balancer/src/main/java/gorsestack/wire/HttpParser.java
+++ b/balancer/src/main/java/gorsestack/wire/HttpParser.java
@@ -188,11 +188,11 @@
         if (length == 2 && lineStart == 0) {
             line.reset(); // An empty line ahead of a message is ignored.
         } else if (length <= 2) {
-            byte[] all = line.toByteArray();
-            if (length == 1 || all[lineStart] != '\r') {
+            byte[] headBytes = line.toByteArray();
+            if (length == 1 || headBytes[lineStart] != '\r') {
                 throw new MalformedMessageException(400, "a line ends without a carriage return");
             }
-            headComplete(Arrays.copyOf(all, lineStart));
+            headComplete(Arrays.copyOf(headBytes, lineStart));
         } else {
             lineStart = line.size();
         }
@@ -234,8 +234,8 @@
         }
         int status = request ? 0 : (int) number(parsed.start[1], 10);
         if (!request && status >= 100 && status < 200) {
-            // An interim response is skipped, and the final one follows. Their total size is limited, as an upstream
-            // could send interim responses without an end.
+            // Interim responses are skipped until the final one arrives. Their total size is limited, as an upstream
+            // could send them without an end.
             interimBytes += bytes.length;
             if (interimBytes > maxHeadBytes || status == 101) {
                 throw new MalformedMessageException(502, "interim responses are too long or switch protocols");
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -42,7 +42,7 @@
 
     private boolean closed;
     /** Whether the upstream accepts no new requests; also read by the sockets' thread. */
-    private volatile boolean withdrawn;
+    private volatile boolean noNewRequests;
 
     /** Creates a connection that has not been opened yet. */
     public UpstreamConnection(
@@ -95,7 +95,7 @@
      */
     private boolean mayBeSent(AttemptListener current) {
         long now = eventLoop.now();
-        return request.release(now, !withdrawn && current.mayBeSent());
+        return request.release(now, !noNewRequests && current.mayBeSent());
     }
 
     @Override
@@ -219,8 +219,8 @@
     private void responseComplete(boolean moreBytes) throws MalformedMessageException {
         buffering.release();
         MessageHead head = parser.head();
-        // A response before the end of the request is a second copy of the previous response, not the response to this
-        // request. Only a large request may be rejected before its end.
+        // A response before the end of the request may be a second copy of the previous response and must not be taken
+        // for the response to this request. Only a large request may be rejected before its end.
         if (!request.written() && (upload == null || head.start[1].equals("200"))) {
             throw new MalformedMessageException(502, "a response arrived before its request was sent");
         }
@@ -344,7 +344,7 @@
 
     /** Stops new requests, as the upstream accepts none: a request that has not begun to be sent is not sent. */
     public void withdraw() {
-        withdrawn = true;
+        noNewRequests = true;
         if (connecting()) {
             end(Outcome.NOT_SENT); // The connection is closed when it has been established.
         }
--- a/balancer/src/test/java/gorsestack/recovery/PeerRecoveryTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/PeerRecoveryTest.java
@@ -337,7 +337,7 @@
 
     /**
      * Without responses a restart causes at most 15 messages per balancer in 30 s. With responses it causes at most 10 more in the first
-     * second, and at most 15 more in the first minute.
+     * second, as no peer sends more than 10 responses in a second, and at most 15 more in the first minute.
      */
     @Test
     void boundsMessagesWhenAllBalancersRestart() {
@@ -373,8 +373,8 @@
         // Balancer 1 runs the previous version: it sends messages without a header, and accepts no others.
         for (int i = 0; i < 100; i++) {
             assertArrayEquals(LOAD_REPORT, current.recovery.receive(fleet.now, 1, LOAD_REPORT));
-            byte[] out = current.recovery.encodeLoadReport(fleet.now, 1, LOAD_REPORT);
-            assertArrayEquals(LOAD_REPORT, out);
+            byte[] encoded = current.recovery.encodeLoadReport(fleet.now, 1, LOAD_REPORT);
+            assertArrayEquals(LOAD_REPORT, encoded);
             fleet.run(fleet.now + SECOND);
         }
         assertTrue(fleet.sent <= 3 + 3, "at most one HELLO per minute: " + fleet.sent);
