--- a/balancer/src/main/java/gorsestack/decision/AdmissionControl.java
+++ b/balancer/src/main/java/gorsestack/decision/AdmissionControl.java
@@ -15,7 +15,7 @@
     private static final double VALUE_WEIGHT = 0.7;
     /** Factor by which the weight of the worst-served product in the optimization target reduces that fraction. */
     private static final double FAIRNESS_WEIGHT = 2.5;
-    /** Minimum limit below which too few attempts are in flight to limit their number, so that load reports decide instead. */
+    /** Minimum limit of the own locality below which too few attempts are in flight to limit them, so that load reports decide instead. */
     private static final double MIN_LIMIT_TO_COUNT = 0.4;
     /** Lowest fraction of calls that load reports admit. If all were rejected, no report would arrive and all would stay rejected. */
     private static final double MIN_ADMITTED = 0.05;
--- a/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
+++ b/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
@@ -236,8 +236,7 @@
         if (outcome == Outcome.TIMED_OUT) {
             reports.onSilence(upstream, duration, now);
         }
-        // The duration of a quick error is no response latency; that of an attempt cut short is only a lower bound of
-        // it.
+        // The duration of an error is no response latency, and that of an attempt cut short is only a lower bound.
         if (outcome == Outcome.FULFILLED || duration > concurrency.latencyRatio * product.slo()) {
             concurrency.onLatency(now, product, duration);
             latencies.onLatency(upstream, product, duration, weight);
--- a/balancer/src/main/java/gorsestack/decision/LatencyEstimator.java
+++ b/balancer/src/main/java/gorsestack/decision/LatencyEstimator.java
@@ -4,8 +4,8 @@
 
 /**
  * Estimates the mean latency of each upstream from this balancer's own attempts, as a ratio to the latency objective. Where load reports
- * are used, {@link LoadReports} sets it instead. Used by {@link BalancingPolicy} on its thread; the state is in {@link UpstreamState} and
- * {@link UpstreamClass}.
+ * are used, {@link LoadReports} sets the mean instead, and attempts only provide its first value and raise it on errors. Used by
+ * {@link BalancingPolicy} on its thread; the state is in {@link UpstreamState} and {@link UpstreamClass}.
  */
 final class LatencyEstimator {
     /**
@@ -32,7 +32,7 @@
         return Math.max(MIN_SAMPLE_WEIGHT, Math.min(MAX_SAMPLE_WEIGHT, slos));
     }
 
-    /** Updates the estimates of an upstream and of its class; the first response begins with the typical latency of the class. */
+    /** Updates the estimates of an upstream and of its class; an upstream without an estimate first takes over that of its class. */
     void onLatency(UpstreamState upstream, Product product, long latency, double weight) {
         double ratio = Math.min(MAX_LATENCY_RATIO, latency / (double) product.slo());
         upstream.upstreamClass.onLatency(ratio);
@@ -44,7 +44,10 @@
         }
     }
 
-    /** Counts an error as the highest latency: an upstream that quickly fails half its calls and is readmitted by the rest is not fast. */
+    /**
+     * Counts an error as the highest latency. Without this, an upstream that quickly fails half its calls, and is readmitted by the other
+     * half, would seem to be the fastest.
+     */
     void onError(UpstreamState upstream, double weight) {
         upstream.latencyRatio += (MAX_LATENCY_RATIO - upstream.latencyRatio) * weight;
     }
--- a/balancer/src/main/java/gorsestack/decision/LoadReports.java
+++ b/balancer/src/main/java/gorsestack/decision/LoadReports.java
@@ -24,8 +24,8 @@
      * does not respond would keep its last reported latency, because it sends no reports either.
      */
     private static final int SILENCE_FACTOR = 4;
-    /** Peers that are notified on each response. Two messages spread a report faster than one that is twice as long. */
-    private static final int PEERS_PER_RESPONSE = 2;
+    /** Number of peers that are sent a message when an attempt ends. Two messages spread a report faster than one that is twice as long. */
+    private static final int PEERS_PER_OUTCOME = 2;
 
     private final Settings settings;
     private final UpstreamTable upstreams;
@@ -101,7 +101,10 @@
         });
     }
 
-    /** Replaces the known load of an upstream; readmits an ejected one whose latency is not far above the mean. */
+    /**
+     * Replaces the known load of an upstream. Readmits an ejected one whose latency is below the objective or below three
+     * times the mean of its locality.
+     */
     private void update(UpstreamState upstream, double latencyRatio, double inFlight, long reportedAt) {
         double readmissionRatio = Math.max(1, 3 * upstream.locality.load.latencyRatio);
         outliers.setEjected(upstream, upstream.ejected && latencyRatio >= readmissionRatio);
@@ -144,7 +147,7 @@
             return;
         }
         byte[] message = LoadGossip.write(newest, now);
-        for (int i = 0; i < PEERS_PER_RESPONSE; i++) {
+        for (int i = 0; i < PEERS_PER_OUTCOME; i++) {
             int peer = (int) (random.next() * (settings.instances() - 1));
             actions.sendToPeer(peer < settings.instanceIndex() ? peer : peer + 1, message);
         }
--- a/balancer/src/main/java/gorsestack/decision/SlowStart.java
+++ b/balancer/src/main/java/gorsestack/decision/SlowStart.java
@@ -55,10 +55,11 @@
     }
 
     /**
-     * Returns the rate of permits for an upstream that is warming up. It is the rate at which a warm upstream of the same
-     * locality responds to this balancer, or a warm upstream of any locality if that is higher, as a locality may have
-     * no warm upstream; this is multiplied by the fraction of its capacity that the upstream has reached. If nothing has
-     * been learned, all balancers together send one attempt a second.
+     * Returns the rate of permits for an upstream that is warming up: a fraction of the overload multiple of its present
+     * capacity. This capacity is the rate at which a warm upstream responds to this balancer, times the fraction of it
+     * that the upstream has reached by its age. The rate of a warm upstream is the mean over the upstream's own locality,
+     * or over all localities if that is higher, because a locality may have no warm upstream; it is at least one attempt
+     * a second from all balancers together, also if nothing has been learned.
      */
     private double permitsPerSecond(UpstreamState upstream, long now) {
         double responses = 0;
--- a/balancer/src/main/java/gorsestack/decision/package-info.java
+++ b/balancer/src/main/java/gorsestack/decision/package-info.java
@@ -7,5 +7,9 @@
  *
  * <p>Terms: each product has a latency <i>objective</i> (SLO), and latencies are kept as ratios to it. An upstream is <i>ejected</i> while
  * it is considered unhealthy, and <i>warming up</i> during slow start.
+ *
+ * <p>Comments refer to four rules by number. Rule 1: every call that was accepted gets one final response before the client's timeout, and
+ * nothing is sent for it after that. Rule 2: no call takes effect twice. Rule 3: an upstream that drains or has been removed is sent no new
+ * requests. Rule 4: all balancers together never overload an upstream that has just started.
  */
 package gorsestack.decision;
--- a/balancer/src/main/java/gorsestack/invariant/RejectionReason.java
+++ b/balancer/src/main/java/gorsestack/invariant/RejectionReason.java
@@ -4,7 +4,7 @@
 public enum RejectionReason {
     /** The client disconnected before the attempt's request was written. */
     CLIENT_LEFT,
-    /** The attempt's deadline, retry window or drain grace period had passed, or its call had ended, before its request was written. */
+    /** The attempt's deadline, repeat window or drain grace period had passed, or its call had ended, before its request was written. */
     TOO_LATE,
     /** No connection was available for the attempt. */
     NO_CONNECTION,
