--- a/balancer/src/main/java/gorsestack/decision/Settings.java
+++ b/balancer/src/main/java/gorsestack/decision/Settings.java
@@ -67,7 +67,7 @@
 
     /** Returns these settings with repeat windows shortened by the longest time from the decision on an attempt to its last byte. */
     public Settings withShorterRepeatWindows(long margin) {
-        List<Product> all = products.stream()
+        List<Product> shortened = products.stream()
                 .map(p -> new Product(
                         p.name(),
                         p.repeat(),
@@ -84,7 +84,7 @@
                 tier,
                 zone,
                 zones,
-                all,
+                shortened,
                 limits,
                 rules,
                 watchesEndpoints,
--- a/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/BalancingPolicyTest.java
@@ -19,73 +19,83 @@
     @Test
     void keepsRulesOfReferenceModelForRandomInputs() {
         for (int seed = 0; seed < 300; seed++) {
-            SplittableRandom r = new SplittableRandom(seed);
+            SplittableRandom random = new SplittableRandom(seed);
             Settings settings = PolicySimulation.settings(
-                    1 + r.nextInt(seed % 3 == 0 ? 1000 : 5),
-                    r.nextInt(2),
-                    1 + r.nextInt(4),
-                    r.nextBoolean(),
-                    Scope.values()[r.nextInt(3)]);
+                    1 + random.nextInt(seed % 3 == 0 ? 1000 : 5),
+                    random.nextInt(2),
+                    1 + random.nextInt(4),
+                    random.nextBoolean(),
+                    Scope.values()[random.nextInt(3)]);
             PolicySimulation simulation = withSixUpstreams(
-                    seed % 2 == 0 ? settings : PolicySimulation.reporting(settings, r.nextInt(settings.instances())),
+                    seed % 2 == 0
+                            ? settings
+                            : PolicySimulation.reporting(settings, random.nextInt(settings.instances())),
                     seed);
-            int maxLatencyMillis = 20 + r.nextInt(1500);
-            double failureFraction = r.nextDouble();
+            int maxLatencyMillis = 20 + random.nextInt(1500);
+            double failureFraction = random.nextDouble();
             for (int i = 0; i < 400; i++) {
-                simulation.runTo(simulation.now + r.nextInt(40) * MS);
+                simulation.runTo(simulation.now + random.nextInt(40) * MS);
                 String id = "c" + i;
-                long remainingTime = (1 + r.nextInt(1200)) * MS;
-                boolean bodyArriving = r.nextInt(8) == 0;
+                long remainingTime = (1 + random.nextInt(1200)) * MS;
+                boolean bodyArriving = random.nextInt(8) == 0;
                 simulation.call(
                         id,
-                        List.of("read", "mark", "once").get(r.nextInt(3)),
+                        List.of("read", "mark", "once").get(random.nextInt(3)),
                         bodyArriving ? Long.MAX_VALUE : remainingTime);
                 if (bodyArriving) {
                     simulation.schedule(
-                            simulation.now + r.nextInt(900) * MS,
+                            simulation.now + random.nextInt(900) * MS,
                             () -> simulation.completeRequestBody(id, remainingTime));
                 }
-                if (r.nextInt(30) == 0) {
-                    simulation.setMaintenance("u" + r.nextInt(6), r.nextBoolean());
-                    simulation.policy.setQuota(simulation.now, r.nextBoolean() ? 1 : 0.5);
+                if (random.nextInt(30) == 0) {
+                    simulation.setMaintenance("u" + random.nextInt(6), random.nextBoolean());
+                    simulation.policy.setQuota(simulation.now, random.nextBoolean() ? 1 : 0.5);
                     simulation.policy.restoreLearned(
                             simulation.now,
                             List.of(
-                                    LearnedLocality.ofRow(r.nextInt(9) - 1, 0.3, 0.2, 5),
+                                    LearnedLocality.ofRow(random.nextInt(9) - 1, 0.3, 0.2, 5),
                                     LearnedLocality.ofRow(Double.NaN, 1, 1, 1),
                                     LearnedLocality.ofRow()));
                 }
                 for (int k = 0; k < 4; k++) {
                     int attempt = k;
-                    Outcome outcome =
-                            r.nextDouble() > failureFraction ? Outcome.FULFILLED : Outcome.values()[r.nextInt(10)];
-                    simulation.schedule(simulation.now + r.nextInt(maxLatencyMillis) * MS, () -> {
+                    Outcome outcome = random.nextDouble() > failureFraction
+                            ? Outcome.FULFILLED
+                            : Outcome.values()[random.nextInt(10)];
+                    simulation.schedule(simulation.now + random.nextInt(maxLatencyMillis) * MS, () -> {
                         if (simulation.calls.get(id).attempts.size() > attempt) {
                             simulation.end(id, attempt, outcome);
                         }
                     });
                 }
-                if (r.nextInt(20) == 0) {
-                    int u = r.nextInt(6);
-                    EndpointState state = EndpointState.values()[r.nextInt(3)];
+                if (random.nextInt(20) == 0) {
+                    int number = random.nextInt(6);
+                    EndpointState state = EndpointState.values()[random.nextInt(3)];
                     simulation.updateEndpoints(
                             Kind.DELTA,
-                            entry("u" + u, state, r.nextInt(3) == 0 ? simulation.now : 0, u / 2, u < 3 ? "a" : "b"));
+                            entry(
+                                    "u" + number,
+                                    state,
+                                    random.nextInt(3) == 0 ? simulation.now : 0,
+                                    number / 2,
+                                    number < 3 ? "a" : "b"));
                 }
                 // Load reports and peer messages are partly valid and partly malformed.
                 double[] values = {-1, 0, 3, 40, 1e300, Double.NaN, Double.POSITIVE_INFINITY};
-                double[] row =
-                        r.doubles(r.nextInt(4)).map(x -> values[(int) (x * 7)]).toArray();
-                simulation.policy.onLoadReport(simulation.now, "u" + r.nextInt(8), r.nextInt(9) == 0 ? null : row);
-                byte[] message = new byte[r.nextInt(300)];
-                r.nextBytes(message);
-                if (!simulation.peerMessages.isEmpty() && r.nextBoolean()) {
-                    message = simulation.peerMessages.get(r.nextInt(simulation.peerMessages.size()));
+                double[] row = random.doubles(random.nextInt(4))
+                        .map(x -> values[(int) (x * 7)])
+                        .toArray();
+                simulation.policy.onLoadReport(
+                        simulation.now, "u" + random.nextInt(8), random.nextInt(9) == 0 ? null : row);
+                byte[] message = new byte[random.nextInt(300)];
+                random.nextBytes(message);
+                if (!simulation.peerMessages.isEmpty() && random.nextBoolean()) {
+                    message = simulation.peerMessages.get(random.nextInt(simulation.peerMessages.size()));
                 } else if (message.length > 0) {
-                    message[0] = (byte) r.nextInt(3);
+                    message[0] = (byte) random.nextInt(3);
                 }
                 simulation.policy.onPeerMessage(simulation.now, message);
-                if (r.nextInt(100) == 0) {
+                if (random.nextInt(100) == 0) {
                     simulation.updateEndpoints(Kind.FAILED);
                 }
             }
--- a/balancer/src/test/java/gorsestack/decision/ColdFleetTest.java
+++ b/balancer/src/test/java/gorsestack/decision/ColdFleetTest.java
@@ -56,7 +56,7 @@
             long latency =
                     world.scenario == Scenario.HEDGES_AND_RETRIES && world.random.nextInt(4) == 0 ? 300 * MS : 20 * MS;
             int attempt = world.nextAttemptNumber(apiCall);
-            world.at(
+            world.schedule(
                     world.now + latency,
                     () -> sender.onOutcome(
                             world.now,
@@ -72,13 +72,13 @@
         @Override
         public void scheduleTimer(long token, long time) {
             BalancingPolicy owner = policy;
-            world.at(time, () -> owner.onTimer(world.now, token));
+            world.schedule(time, () -> owner.onTimer(world.now, token));
         }
 
         @Override
         public void cancelAttempt(String apiCall, int attempt) {
             BalancingPolicy sender = policy;
-            world.at(world.now, () -> sender.onOutcome(world.now, apiCall, attempt, Outcome.CANCELLED, 0, true));
+            world.schedule(world.now, () -> sender.onOutcome(world.now, apiCall, attempt, Outcome.CANCELLED, 0, true));
         }
 
         @Override
@@ -131,7 +131,7 @@
             return attemptsByCall.merge(call, 1, Integer::sum) - 1;
         }
 
-        void at(long time, Runnable action) {
+        void schedule(long time, Runnable action) {
             scheduledActions.add(new ScheduledAction(time, nextSequence++, action));
         }
 
@@ -175,7 +175,7 @@
         boolean newFleet = scenario == Scenario.NEW_FLEET;
         double capacity = newFleet ? 2 : CAPACITY;
         world.now = newFleet ? start : world.now;
-        List<BalancerProcess> all = new ArrayList<>();
+        List<BalancerProcess> fleet = new ArrayList<>();
         for (int b = 0; b < processes; b++) {
             BalancerProcess process = new BalancerProcess(world);
             process.policy = new BalancingPolicy(
@@ -191,10 +191,10 @@
                                     List.of(PolicySimulation.entry("cold", EndpointState.READY, start, 0, "a")))
                             : warmUpstreams(coldInOtherZone, false));
             inject(injectedFault, process.policy);
-            all.add(process);
+            fleet.add(process);
             // Discovery notifies the processes at different times within a second of the start.
             BalancingPolicy notified = process.policy;
-            world.at(start + (long) (world.random.nextDouble() * 1_000 * MS), () -> {
+            world.schedule(start + (long) (world.random.nextDouble() * 1_000 * MS), () -> {
                 notified.onEndpointUpdate(
                         world.now,
                         new EndpointUpdate(
@@ -207,28 +207,29 @@
             for (int i = 0; i < 3; i++) {
                 int round = i;
                 for (int b = 0; b < processes; b++) {
-                    BalancerProcess process = all.get(b);
+                    BalancerProcess process = fleet.get(b);
                     int number = b;
-                    world.at(start + (1_500 + 1_000L * i) * MS + (long) (world.random.nextDouble() * 300 * MS), () -> {
-                        process.policy = new BalancingPolicy(
-                                PolicySimulation.settings(configuredInstances, 1, 2, false, Settings.Scope.ALL),
-                                seed * 1_000 + number + 500L * (round + 1),
-                                world.now,
-                                process);
-                        process.policy.onEndpointUpdate(world.now, warmUpstreams(coldInOtherZone, true));
-                        inject(injectedFault, process.policy);
-                    });
+                    world.schedule(
+                            start + (1_500 + 1_000L * i) * MS + (long) (world.random.nextDouble() * 300 * MS), () -> {
+                                process.policy = new BalancingPolicy(
+                                        PolicySimulation.settings(configuredInstances, 1, 2, false, Settings.Scope.ALL),
+                                        seed * 1_000 + number + 500L * (round + 1),
+                                        world.now,
+                                        process);
+                                process.policy.onEndpointUpdate(world.now, warmUpstreams(coldInOtherZone, true));
+                                inject(injectedFault, process.policy);
+                            });
                 }
             }
         }
         // The load is 0.8 of the capacity of six upstreams; after the zone is lost, of the two that remain.
-        for (BalancerProcess process : all) {
+        for (BalancerProcess process : fleet) {
             scheduleCalls(world, process, 0.8 * capacity * 6 / processes, start);
         }
         if (coldInOtherZone) {
-            world.at(
+            world.schedule(
                     start + 4_000 * MS,
-                    () -> all.forEach(process -> process.policy.onEndpointUpdate(
+                    () -> fleet.forEach(process -> process.policy.onEndpointUpdate(
                             world.now,
                             new EndpointUpdate(
                                     EndpointUpdate.Kind.DELTA,
@@ -265,7 +266,7 @@
 
     /** Schedules the next call of a process at a random time, from which the call after it is scheduled. */
     private static void scheduleCalls(World world, BalancerProcess process, double callsPerSecond, long start) {
-        world.at(world.now + (long) (-Math.log(1 - world.random.nextDouble()) / callsPerSecond * 1e9), () -> {
+        world.schedule(world.now + (long) (-Math.log(1 - world.random.nextDouble()) / callsPerSecond * 1e9), () -> {
             long since = world.now - start;
             boolean pause = world.scenario == Scenario.PAUSE && since > 0 && since < 3_000 * MS;
             boolean reduced = world.scenario == Scenario.LOST_ZONE && since > 4_000 * MS && world.random.nextInt(3) > 0;
--- a/balancer/src/test/java/gorsestack/decision/DecisionTrace.java
+++ b/balancer/src/test/java/gorsestack/decision/DecisionTrace.java
@@ -93,14 +93,14 @@
     }
 
     /** An action at a simulated time; events of the same time run in the order in which they were scheduled. */
-    private record Event(long at, long order, Runnable action) {}
+    private record Event(long time, long sequence, Runnable action) {}
 
     final long[] counts = new long[ActionKind.values().length];
     private final SplittableRandom random;
     private final Settings settings;
     private final MessageDigest digest = sha256();
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            (a, b) -> a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.sequence, b.sequence));
     private final Map<String, ApiCall> calls = new LinkedHashMap<>();
     private final Map<String, Upstream> upstreams = new LinkedHashMap<>();
     private final List<Instance> instances = new ArrayList<>();
@@ -111,7 +111,7 @@
     private double callRateFactor = 1;
     private double latencyFactor = 1;
     private long now = START;
-    private long order;
+    private long nextSequence;
     private int upstreamsCreated;
 
     DecisionTrace(long seed) {
@@ -169,14 +169,14 @@
 
     // Simulated time: events in order.
 
-    private void schedule(long at, Runnable action) {
-        events.add(new Event(at, order++, action));
+    private void schedule(long time, Runnable action) {
+        events.add(new Event(time, nextSequence++, action));
     }
 
     private void runTo(long end) {
-        while (!events.isEmpty() && events.peek().at <= end) {
+        while (!events.isEmpty() && events.peek().time <= end) {
             Event event = events.poll();
-            now = Math.max(now, event.at);
+            now = Math.max(now, event.time);
             event.action.run();
         }
         now = end;
@@ -262,11 +262,11 @@
         double millis = upstream.meanMillis * load * latencyFactor * (0.5 + random.nextDouble());
         boolean fails = random.nextDouble() < upstream.failureFraction;
         Outcome outcome = !fails ? Outcome.FULFILLED : random.nextInt(4) == 0 ? anyOutcome() : upstream.failure;
-        long at = now + (long) ((fails ? millis / 3 : millis) * MILLISECOND);
+        long endsAt = now + (long) ((fails ? millis / 3 : millis) * MILLISECOND);
         if (!fails && random.nextInt(20) == 0) {
-            schedule(now + (at - now) / 2, () -> startResponse(call, number));
+            schedule(now + (endsAt - now) / 2, () -> startResponse(call, number));
         }
-        schedule(at, () -> end(call, number, outcome));
+        schedule(endsAt, () -> end(call, number, outcome));
     }
 
     private void startResponse(ApiCall call, int number) {
@@ -301,9 +301,9 @@
     // Random changes of upstreams, settings and load.
 
     private void scheduleNextDisturbance() {
-        long at = now + (20 + random.nextInt(200)) * MILLISECOND;
-        if (at < START + LOAD_TIME) {
-            schedule(at, () -> {
+        long disturbAt = now + (20 + random.nextInt(200)) * MILLISECOND;
+        if (disturbAt < START + LOAD_TIME) {
+            schedule(disturbAt, () -> {
                 disturb();
                 scheduleNextDisturbance();
             });
@@ -337,8 +337,15 @@
     }
 
     private void changeState(Upstream upstream, EndpointState state) {
-        Endpoint e = upstream.entry;
-        upstream.entry = new Endpoint(e.id(), state, e.startedAt(), e.cell(), e.weight(), e.kind(), e.zone());
+        Endpoint previous = upstream.entry;
+        upstream.entry = new Endpoint(
+                previous.id(),
+                state,
+                previous.startedAt(),
+                previous.cell(),
+                previous.weight(),
+                previous.kind(),
+                previous.zone());
         publishDelta(List.of(upstream.entry));
     }
 
--- a/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/HedgingPolicyTest.java
@@ -80,13 +80,13 @@
         }
         for (String product : List.of("mark", "read")) {
             simulation.call(product, product, 1000 * MS);
-            PolicySimulation.ApiCall c = simulation.calls.get(product);
+            PolicySimulation.ApiCall call = simulation.calls.get(product);
             simulation.end(product, 0, Outcome.BROKEN);
-            assertEquals(2, c.attempts.size(), "attempts right after the reset");
+            assertEquals(2, call.attempts.size(), "attempts right after the reset");
             simulation.end(product, 1, Outcome.MALFORMED_RESPONSE);
-            assertEquals(3, c.attempts.size());
+            assertEquals(3, call.attempts.size());
             simulation.end(product, 2, Outcome.FULFILLED);
-            assertEquals("fulfilled", c.response);
+            assertEquals("fulfilled", call.response);
         }
         simulation.settle();
     }
@@ -128,8 +128,8 @@
     /** Guards against late responses without value that delay the calls behind them: such a call ends at its SLO. */
     @Test
     void endsNonIdempotentCallAtItsSloWhenLateResponseHasNoValue() {
-        Settings s = PolicySimulation.settings(1, 0, 1, false, Scope.ALL);
-        List<Settings.Product> withoutLateValue = s.products().stream()
+        Settings base = PolicySimulation.settings(1, 0, 1, false, Scope.ALL);
+        List<Settings.Product> withoutLateValue = base.products().stream()
                 .map(p -> new Settings.Product(
                         p.name(),
                         p.repeat(),
@@ -146,13 +146,13 @@
                         1,
                         0,
                         "a",
-                        s.zones(),
+                        base.zones(),
                         withoutLateValue,
-                        s.limits(),
-                        s.rules(),
+                        base.limits(),
+                        base.rules(),
                         false,
                         false,
-                        s.reports(),
+                        base.reports(),
                         true,
                         0,
                         MS),
