--- a/balancer/src/main/java/gorsestack/decision/LocalityRouter.java
+++ b/balancer/src/main/java/gorsestack/decision/LocalityRouter.java
@@ -16,7 +16,7 @@
     /** Weight of a locality other than the balancer's own, whose weight is 1, because leaving the own one is costly. */
     private static final double OTHER_LOCALITY_WEIGHT = 0.01;
     /**
-     * Power of the load that divides a locality's weight. The weighted draw prevents traffic from swinging between
+     * Power of one plus the mean load by which a locality's weight is divided. The weighted draw prevents traffic from swinging between
      * localities, as it would if all of it went to the least loaded one.
      */
     private static final int LOAD_EXPONENT = 3;
@@ -59,8 +59,8 @@
 
     /**
      * Refreshes the load of all localities and returns the index of one that is drawn at random. The weight of a
-     * locality is the throughput of its healthy members divided by the third power of its load; localities other than
-     * the balancer's own one have a lower weight.
+     * locality is the throughput of its healthy members divided by the third power of one plus its mean load; localities
+     * other than the balancer's own one have a lower weight.
      */
     int drawByLoad(long now, double meanSlo) {
         double total = 0;
--- a/balancer/src/main/java/gorsestack/decision/UpstreamSelector.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamSelector.java
@@ -46,12 +46,12 @@
     /** Time constant of the decay of recent calls, in nanoseconds. */
     private static final double RECENT_CALLS_WINDOW = 6e9;
     /**
-     * Maximum ratio of an upstream's attempts in flight to the mean, to which {@link #MAX_IN_FLIGHT_OFFSET} attempts are
-     * added. The first pass skips upstreams with more attempts in flight.
+     * The first pass skips an upstream with more attempts in flight than this multiple of the mean plus
+     * {@link #MAX_IN_FLIGHT_OFFSET}; the sum is scaled by the upstream's speed.
      */
     private static final double MAX_IN_FLIGHT_PER_MEAN = 1.25;
 
-    /** Number of attempts in flight that the first pass allows in addition. */
+    /** Number of attempts in flight that the first pass allows in addition to the multiple of the mean. */
     private static final double MAX_IN_FLIGHT_OFFSET = 0.5;
     /** Bounds of a speed that is estimated from this balancer's own attempts, which are weak evidence. */
     private static final double MIN_SPEED = 0.25;
--- a/balancer/src/main/java/gorsestack/decision/UpstreamState.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamState.java
@@ -24,7 +24,7 @@
     int inFlight;
     /** Credit in the weighted round-robin, which grows at each visit; an attempt costs 1. */
     double rotationCredit;
-    /** Mean latency ratio of recent attempts; 0 if unknown. */
+    /** Mean latency ratio of recent attempts, or of recent load reports where they are used; 0 if unknown. */
     double latencyRatio;
     /** Time at which the upstream last responded to an attempt, with success or an error, such as a refused connection. */
     long lastResponseAt;
@@ -34,7 +34,10 @@
     /** Time at which the upstream was last considered for a probe while ejected. */
     long probeConsideredAt;
 
-    /** Time at which the newest load report was received, by this balancer or by a peer that passed it on; 0 if never. */
+    /**
+     * Time at which the newest load report was received, by this balancer or by a peer that passed it on, or at which a
+     * missing response last raised the latency; 0 if never.
+     */
     long reportedAt;
     /** Number of calls in flight at the upstream, from all balancers, according to its load reports. */
     double reportedInFlight;
