--- a/balancer/src/main/java/gorsestack/fleet/FencingTokenGuard.java
+++ b/balancer/src/main/java/gorsestack/fleet/FencingTokenGuard.java
@@ -1,14 +1,13 @@
 package gorsestack.fleet;
 
 /**
- * Protects a receiver of effects, which are operations that a lease owner executes on it, from earlier owners of the lease. Rejects each
- * effect whose epoch is lower than the highest epoch seen so far. Persists the epoch and number of an effect before it is executed. A
- * receiver
- * without persisted state accepts nothing until it has learned the current epoch from a majority of the members. Not thread-safe: each
- * receiver calls its guard on one thread.
+ * Protects a receiver from the effects of earlier owners of a lease; an effect is an operation that a lease owner requests from a receiver.
+ * Rejects each effect whose epoch is lower than the highest epoch seen so far. Persists the epoch and number of an effect before the effect
+ * is executed. A receiver without persisted state accepts nothing until it has learned the current epoch from a majority of the members.
+ * Not thread-safe: each receiver calls its guard on one thread.
  */
 public final class FencingTokenGuard {
-    /** The result of checking an effect, which says whether the receiver executes it. */
+    /** The result of checking an effect. The receiver executes only effects that are accepted. */
     public enum Verdict {
         /** The effect is new and is executed now. */
         ACCEPTED,
@@ -62,7 +61,7 @@
     /**
      * Checks an effect, and persists its epoch and sequence number if it is accepted.
      *
-     * @param epoch epoch under which the owner executes the effect
+     * @param epoch epoch under which the owner requests the effect
      * @param sequenceNumber number of the effect; an owner numbers the effects of an epoch from 1
      */
     public Verdict check(long epoch, long sequenceNumber) {
--- a/balancer/src/main/java/gorsestack/fleet/LeaseManager.java
+++ b/balancer/src/main/java/gorsestack/fleet/LeaseManager.java
@@ -12,8 +12,8 @@
  *
  * <p>The owner counts its lease from its request. All other members count it from a time that is no earlier: from when they observed the
  * grant or, for a renewal, from as long after the previous grant as the owner states. They also wait longer by the bound on clock rates. So
- * no two members believe at the same time that they own the lease. Effects of an owner that arrive after its lease has expired are rejected
- * by {@link FencingTokenGuard}.
+ * no two members believe at the same time that they own the lease. An effect that arrives late, when the receiver has already seen a later
+ * epoch, is rejected by {@link FencingTokenGuard}.
  */
 public final class LeaseManager {
     /** The requests and notifications that a manager sends to its host. */
--- a/balancer/src/main/java/gorsestack/fleet/store/MemberLog.java
+++ b/balancer/src/main/java/gorsestack/fleet/store/MemberLog.java
@@ -30,8 +30,8 @@
  * snapshots have made most of it obsolete. Everything is synced before it is acknowledged. Used by the thread of the member's {@link
  * gorsestack.fleet.ConsensusNode}; not thread-safe.
  *
- * <p>A last line that was cut off during a write was never acknowledged and is dropped. After any other damage, or after a failed write,
- * the member must not vote any more, because it would confirm entries and votes that it may have lost.
+ * <p>A tail without intact lines comes from a write that was cut off. It was never acknowledged and is dropped. After any other damage, or
+ * after a failed write, the member must not vote any more, because it would confirm entries and votes that it may have lost.
  */
 public final class MemberLog implements RaftStore {
     /**
@@ -61,17 +61,17 @@
     /**
      * Reads the log of an earlier process of this member, if there is one, and compacts it.
      *
-     * @throws IOException if the log is damaged in another way than by a last line that was cut off
+     * @throws IOException if the log cannot be read, is too large, is damaged before an intact line, or has an unknown format
      */
     public MemberLog(Storage storage, String file) throws IOException {
         this.storage = storage;
         this.file = file;
-        byte[] all = storage.read(file);
-        if (all != null) {
-            if (all.length > MAX_BYTES) {
-                throw new IOException(file + " is too large for a member log: " + all.length + " bytes");
+        byte[] content = storage.read(file);
+        if (content != null) {
+            if (content.length > MAX_BYTES) {
+                throw new IOException(file + " is too large for a member log: " + content.length + " bytes");
             }
-            read(new String(all, StandardCharsets.UTF_8));
+            read(new String(content, StandardCharsets.UTF_8));
             // The file is compacted at once, because lines appended after one that was cut off could never be read.
             compact();
         }
@@ -173,13 +173,13 @@
         }
         chunks.forEach(c -> text.append(line(c)));
         entries.values().forEach(e -> text.append(line(e)));
-        byte[] all = text.toString().getBytes(StandardCharsets.UTF_8);
-        storage.write(file + ".new", all);
+        byte[] content = text.toString().getBytes(StandardCharsets.UTF_8);
+        storage.write(file + ".new", content);
         storage.sync(file + ".new");
         storage.rename(file + ".new", file);
         storage.syncFolder();
-        fileBytes = all.length;
-        liveBytes = all.length;
+        fileBytes = content.length;
+        liveBytes = content.length;
         failed = false;
     }
 
@@ -210,9 +210,9 @@
                 .build();
     }
 
-    private static Collection<RaftEndpoint> endpoints(JsonNode all) {
+    private static Collection<RaftEndpoint> endpoints(JsonNode members) {
         List<RaftEndpoint> endpoints = new ArrayList<>();
-        all.forEach(m -> endpoints.add(LeaseJson.member(m)));
+        members.forEach(m -> endpoints.add(LeaseJson.member(m)));
         return endpoints;
     }
 
--- a/balancer/src/test/java/gorsestack/fleet/ClusterSimulation.java
+++ b/balancer/src/test/java/gorsestack/fleet/ClusterSimulation.java
@@ -23,8 +23,9 @@
 
 /**
  * Simulates a group of five members with one lease and two receivers of effects. Messages are delayed, lost and duplicated; links fail in
- * one or both directions; members are paused and resumed, crash and restart; disks fill up. All random choices come from one seed, and the
- * invariants are checked after each event. Single-threaded.
+ * one or both directions; members are paused at any step and resumed; they crash, which may cut off any write that is not synced, and
+ * restart; receivers restart; disks fill up. All random choices come from one seed, and the invariants are checked after each event.
+ * Single-threaded.
  */
 final class ClusterSimulation {
     /** A bug that is planted in the simulation, to prove that the checks find it. */
