--- a/balancer/src/main/java/gorsestack/fleet/store/LeaseJson.java
+++ b/balancer/src/main/java/gorsestack/fleet/store/LeaseJson.java
@@ -115,9 +115,9 @@
 
     /** Converts a snapshot, which consists of the entries of all leases. */
     static ArrayNode of(Map<String, Entry> entries) {
-        ArrayNode all = JSON.createArrayNode();
+        ArrayNode array = JSON.createArrayNode();
         entries.forEach((leaseName, entry) -> {
-            ObjectNode node = all.addObject()
+            ObjectNode node = array.addObject()
                     .put("duty", leaseName)
                     .put("version", entry.version())
                     .put("epoch", entry.epoch())
@@ -128,12 +128,13 @@
             }
             entry.unfinishedWork().forEach(node.putObject("work")::put);
         });
-        return all;
+        return array;
     }
 
-    static Map<String, Entry> entries(JsonNode all) {
+    /** Converts the JSON of a snapshot to the entries of all leases. */
+    static Map<String, Entry> entries(JsonNode array) {
         Map<String, Entry> entries = new TreeMap<>();
-        for (JsonNode node : all) {
+        for (JsonNode node : array) {
             Map<String, String> work = new TreeMap<>();
             node.path("work")
                     .fields()
--- a/balancer/src/test/java/gorsestack/fleet/LeaseModel.java
+++ b/balancer/src/test/java/gorsestack/fleet/LeaseModel.java
@@ -108,7 +108,7 @@
         });
     }
 
-    private LeaseManager.Actions actions(int i) {
+    private LeaseManager.Actions actions(int member) {
         return new LeaseManager.Actions() {
             @Override
             public void propose(LeaseCommand command) {
@@ -122,7 +122,7 @@
 
             @Override
             public void onAcquired(LeaseTable.Entry entry) {
-                lastEffects[i] = 0;
+                lastEffects[member] = 0;
             }
 
             @Override
@@ -131,12 +131,12 @@
     }
 
     /** Returns the time of a member's clock, which only a planted bug sets back. */
-    private long clock(int i) {
-        return time - clockSetBack[i];
+    private long clock(int member) {
+        return time - clockSetBack[member];
     }
 
-    private boolean mayAct(int i) {
-        return managers[i].mayAct(clock(i));
+    private boolean mayAct(int member) {
+        return managers[member].mayAct(clock(member));
     }
 
     /** Returns everything that distinguishes this state from others. */
@@ -159,15 +159,15 @@
         violation = violation == null ? description : violation;
     }
 
-    private void apply(int i) {
-        LeaseCommand command = log.get(appliedCommands[i]);
+    private void apply(int member) {
+        LeaseCommand command = log.get(appliedCommands[member]);
         LeaseTable before = new LeaseTable();
         boolean changed = false;
-        for (int n = 0; n <= appliedCommands[i]; n++) {
+        for (int n = 0; n <= appliedCommands[member]; n++) {
             changed = before.apply(log.get(n));
         }
-        appliedCommands[i]++;
-        managers[i].onApplied(clock(i), command, changed, before.entry("d"));
+        appliedCommands[member]++;
+        managers[member].onApplied(clock(member), command, changed, before.entry("d"));
     }
 
     private void commit(int proposal) {
@@ -280,22 +280,22 @@
         return steps;
     }
 
-    private void restart(int i) {
+    private void restart(int member) {
         restarts++;
-        incarnation[i]++;
-        lastEffects[i] = 0;
-        managers[i] = new LeaseManager(
+        incarnation[member]++;
+        lastEffects[member] = 0;
+        managers[member] = new LeaseManager(
                 "d",
-                new LeaseOwner(i, incarnation[i]),
+                new LeaseOwner(member, incarnation[member]),
                 LEASE_DURATION,
                 maxClockDrift(),
                 true,
                 time,
                 () -> 0,
-                actions(i));
-        appliedCommands[i] = 0;
-        while (appliedCommands[i] < log.size()) {
-            apply(i);
+                actions(member));
+        appliedCommands[member] = 0;
+        while (appliedCommands[member] < log.size()) {
+            apply(member);
         }
     }
 
--- a/balancer/src/test/java/gorsestack/fleet/store/MemberLogFormatTest.java
+++ b/balancer/src/test/java/gorsestack/fleet/store/MemberLogFormatTest.java
@@ -54,11 +54,11 @@
     }
 
     private static RaftGroupMembersView members() {
-        List<RaftEndpoint> all = List.of(new Member(0, 1), new Member(1, 1), new Member(2, 9));
+        List<RaftEndpoint> endpoints = List.of(new Member(0, 1), new Member(1, 1), new Member(2, 9));
         return MODELS.createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
-                .setMembers(all)
-                .setVotingMembers(all.subList(0, 2))
+                .setMembers(endpoints)
+                .setVotingMembers(endpoints.subList(0, 2))
                 .build();
     }
 
--- a/balancer/src/test/java/gorsestack/fleet/store/MemberLogTest.java
+++ b/balancer/src/test/java/gorsestack/fleet/store/MemberLogTest.java
@@ -40,11 +40,11 @@
     private Path folder;
 
     private static RaftGroupMembersView members() {
-        List<RaftEndpoint> all = List.of(new Member(0, 1), new Member(1, 1), new Member(2, 9));
+        List<RaftEndpoint> endpoints = List.of(new Member(0, 1), new Member(1, 1), new Member(2, 9));
         return MODELS.createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
-                .setMembers(all)
-                .setVotingMembers(all.subList(0, 2))
+                .setMembers(endpoints)
+                .setVotingMembers(endpoints.subList(0, 2))
                 .build();
     }
 
@@ -72,16 +72,18 @@
         log.flush();
     }
 
-    private static String describe(RestoredRaftState r) {
-        return r.getLocalEndpointPersistentState().getLocalEndpoint() + " "
-                + r.getTermPersistentState().getTerm() + " "
-                + r.getTermPersistentState().getVotedFor() + " "
-                + r.getInitialGroupMembers().getVotingMembers().size() + " "
-                + r.getLogEntries().stream()
+    private static String describe(RestoredRaftState state) {
+        return state.getLocalEndpointPersistentState().getLocalEndpoint() + " "
+                + state.getTermPersistentState().getTerm() + " "
+                + state.getTermPersistentState().getVotedFor() + " "
+                + state.getInitialGroupMembers().getVotingMembers().size() + " "
+                + state.getLogEntries().stream()
                         .map(e -> e.getIndex() + ":" + e.getTerm() + ":" + e.getOperation())
                         .toList()
                 + " "
-                + (r.getSnapshotEntry() == null ? "" : r.getSnapshotEntry().getIndex());
+                + (state.getSnapshotEntry() == null
+                        ? ""
+                        : state.getSnapshotEntry().getIndex());
     }
 
     @Test
@@ -106,11 +108,11 @@
         CrashingStorage disk = new CrashingStorage(() -> 0);
         MemberLog log = new MemberLog(disk, "log");
         writeEntries(log);
-        byte[] all = disk.read("log");
+        byte[] content = disk.read("log");
         int lastEntries = 0;
-        for (int length = 0; length <= all.length; length++) {
+        for (int length = 0; length <= content.length; length++) {
             CrashingStorage truncated = new CrashingStorage(() -> 0);
-            truncated.write("log", Arrays.copyOf(all, length));
+            truncated.write("log", Arrays.copyOf(content, length));
             RestoredRaftState restored = new MemberLog(truncated, "log").restored();
             int entries = restored == null ? 0 : restored.getLogEntries().size();
             assertTrue(entries == lastEntries || entries == lastEntries + 1, "truncated at byte " + length);
@@ -127,10 +129,11 @@
         }
         assertEquals(OPERATIONS.size(), lastEntries);
         int lastLine =
-                new String(all, java.nio.charset.StandardCharsets.ISO_8859_1).lastIndexOf('\n', all.length - 2) + 1;
+                new String(content, java.nio.charset.StandardCharsets.ISO_8859_1).lastIndexOf('\n', content.length - 2)
+                        + 1;
         for (int i = 0; i < lastLine - 1; i++) {
             CrashingStorage damaged = new CrashingStorage(() -> 0);
-            byte[] changed = all.clone();
+            byte[] changed = content.clone();
             changed[i] ^= 1;
             damaged.write("log", changed);
             assertThrows(IOException.class, () -> new MemberLog(damaged, "log"), "changed at byte " + i);
@@ -173,7 +176,7 @@
         assertTrue(entries.toString().contains("what"), entries.toString());
     }
 
-    /** Prevents whole lines after the half line of a failed write, which a later process would take for damage and reject. */
+    /** Guards against whole lines after the half line of a failed write, which a later process would take for damage and reject. */
     @Test
     void rejectsWritesAfterAFailedWrite() throws Exception {
         CrashingStorage disk = new CrashingStorage(() -> 0.5);
