--- a/lab/src/main/java/gorsestack/lab/shim/Shim.java
+++ b/lab/src/main/java/gorsestack/lab/shim/Shim.java
@@ -13,8 +13,8 @@
 
 /**
  * Injects faults of the operating system into single processes, for runs and for the soak. Each process is started with a preloaded
- * library, which this class compiles. The library maps a control file, which lies next to the log of the process and says which calls fail.
- * Available only where a C compiler is installed. Immutable.
+ * library, which this class compiles. The library maps a control file, which lies next to the log of the process, and which contains the
+ * offset of the wall clock and the calls that fail. Available only where a C compiler is installed. Immutable.
  */
 public final class Shim {
     /** A system call that can be made to fail. The order is the same as in the library. */
--- a/lab/src/main/java/gorsestack/lab/standin/Discovery.java
+++ b/lab/src/main/java/gorsestack/lab/standin/Discovery.java
@@ -39,7 +39,7 @@
     public static final String IN_SERVICE = "in_service";
     /** The status of an endpoint that is draining. */
     public static final String TERMINATING = "terminating";
-    /** The status of an endpoint that has ended. */
+    /** The status of an endpoint that has terminated. */
     public static final String TERMINATED = "terminated";
 
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/lab/src/main/java/gorsestack/lab/standin/MisbehavingClients.java
+++ b/lab/src/main/java/gorsestack/lab/standin/MisbehavingClients.java
@@ -19,8 +19,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Clients that violate the protocol, or that use it in unusual ways. The balancer still has to respond to each of them: by an error or a
- * close within three seconds, or by one response to each complete request. Otherwise a violation is recorded. Confined to the event loop.
+ * Clients that violate the protocol, or that use it in unusual ways. The balancer has to respond to an incomplete request, or close its
+ * connection, within three seconds, and has to send exactly one response to each complete request in time; otherwise a violation is
+ * recorded. No response is required for a client that disconnects without waiting for it; its disconnect is recorded, so that the
+ * verification detects attempts that start after it. Confined to the event loop.
  */
 public final class MisbehavingClients {
     private enum Behavior {
@@ -32,7 +34,7 @@
         HALF_BODY,
         /** Sends several requests without waiting for responses. */
         SENDS_AHEAD,
-        /** Sends a request and closes the connection without waiting for the response. */
+        /** Sends a request and closes the connection without waiting for the response, so none is required. */
         SENDS_AND_LEAVES,
         /** Sends a request with a remaining time of at most 60 ms. */
         LITTLE_TIME
--- a/lab/src/main/java/gorsestack/lab/standin/Upstream.java
+++ b/lab/src/main/java/gorsestack/lab/standin/Upstream.java
@@ -20,7 +20,7 @@
     /** The sidecar number of an upstream that calls no other tier. */
     static final int NO_SIDECAR = -1;
 
-    /** One of this number of upstreams is of the slow type. */
+    /** The interval of the numbers of slow upstreams: every third upstream is of the slow type. */
     private static final int SLOW_TYPE_INTERVAL = 3;
 
     public final int number;
--- a/lab/src/main/java/gorsestack/lab/verify/Call.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Call.java
@@ -7,8 +7,8 @@
  * @param intended when the client intended to make the call, in nanoseconds from the start of the measured load
  * @param ended when the final try ended, in the same unit
  * @param outcome how the final try ended
- * @param value the value that was earned: less than possible for a late response, and 0 if the call was not served
- * @param possibleValue the value of the call if it is served in time
+ * @param value the value that was earned: less than possible if the call was served after its latency objective, and 0 if it was not served
+ * @param possibleValue the value of the call if it is served within its latency objective
  */
 public record Call(
         int number,
@@ -23,7 +23,7 @@
 
     /** The outcome of the final try of a call. */
     public enum Outcome {
-        /** The client received the correct response before the deadline of the call. */
+        /** The client received the correct response within the time budget of the final try. */
         SERVED("served"),
         /** The balancer rejected the call with a status that invites a retry. */
         RATE_LIMITED("rate-limited"),
--- a/lab/src/main/java/gorsestack/lab/verify/Records.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Records.java
@@ -142,7 +142,7 @@
     /** The disconnect of a client while its request was in progress. */
     public record ClientDisconnect(String id, int balancer, long at) {}
 
-    /** A case in which a misbehaving client got neither the response nor the close that a balancer owes it. */
+    /** A case in which a misbehaving client did not get the responses, or the close, that a balancer owes it. */
     public record MisbehavingClientViolation(
             String id,
             int balancer,
--- a/lab/src/main/java/gorsestack/lab/verify/ResponseRule.java
+++ b/lab/src/main/java/gorsestack/lab/verify/ResponseRule.java
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Returns whether the balancer started an attempt after a time, as neither a link fault nor SIGSTOP explains its late arrival. */
+    /** Returns whether the balancer really started an attempt after a time: neither a link fault nor SIGSTOP explains a late arrival. */
     private boolean startedByChoice(UpstreamAttempt attempt, long since) {
         return !indexedRecords.attemptLinkFaulted(attempt, since - IndexedRecords.LINK_RECOVERY_NANOS)
                 && !indexedRecords.processes.stopped(attempt.balancer(), since, attempt.startedAt());
@@ -130,7 +130,10 @@
         }
     }
 
-    /** Reports a misbehaving client that got neither a response nor a close, unless the balancer or the link could not deliver one. */
+    /**
+     * Reports a misbehaving client that did not get the responses, or the close, that it is owed, unless the balancer was unavailable or
+     * terminating, or the link had a fault.
+     */
     void checkMisbehavingClient(MisbehavingClientViolation violation) {
         int balancer = violation.balancer();
         if (!indexedRecords.processes.unavailable(
--- a/lab/src/main/java/gorsestack/lab/verify/RunMetrics.java
+++ b/lab/src/main/java/gorsestack/lab/verify/RunMetrics.java
@@ -99,7 +99,10 @@
         return computation.applyAsDouble(period);
     }
 
-    /** Returns the ratio of the earned value to the possible value of the calls in a period; late responses earn a part. */
+    /**
+     * Returns the ratio of the earned value to the possible value of the calls in a period. Calls that are served after their latency
+     * objective earn a part.
+     */
     public double valueFraction(Period period) {
         return Calls.valueFraction(calls(period));
     }
--- a/lab/src/main/java/gorsestack/lab/verify/Verifier.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Verifier.java
@@ -9,8 +9,9 @@
 import java.util.List;
 
 /**
- * Checks whether a fleet complied with the four rules, based on what clients, upstreams and discovery observed; reports of the balancers
- * themselves are not used. A result is computed from one verifier on a single thread, either after a run or from stored records.
+ * Checks whether a fleet complied with the four rules, which {@link Violation} lists, based on what clients, upstreams and discovery
+ * observed; reports of the balancers themselves are not used. A result is computed from one verifier on a single thread, either after a run
+ * or from stored records.
  */
 public final class Verifier {
     /** The party that misbehaving clients belong to, which is part of the names of their links. */
--- a/lab/src/main/java/gorsestack/lab/verify/Violation.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Violation.java
@@ -5,7 +5,7 @@
  *
  * @param rule the name of the rule, one of the constants of this class
  * @param at when the violation happened, in nanoseconds from the start of the measured load
- * @param description the balancer, the request and how they violated the rule
+ * @param description what happened, with the balancer or upstream and the request concerned
  */
 public record Violation(String rule, long at, String description) {
     /** The rule that each accepted request gets exactly one correct response in time, and that no attempt starts after it. */
--- a/lab/src/main/resources/shim/faults.c
+++ b/lab/src/main/resources/shim/faults.c
@@ -1,7 +1,7 @@
 /*
  * A preloaded library that injects faults of the operating system into one process: steps of the wall clock, and system calls that fail or
- * transfer only a part of the bytes. The control file says which calls fail. It is mapped into the process and written by the lab; see
- * Shim.java for its layout.
+ * transfer only a part of the bytes. The control file contains the offset of the clock and the calls that fail. It is mapped into the
+ * process and written by the lab; see Shim.java for its layout.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
