--- a/lab/src/main/java/gorsestack/lab/process/BalancerFleet.java
+++ b/lab/src/main/java/gorsestack/lab/process/BalancerFleet.java
@@ -185,9 +185,10 @@
     /** Ends all processes by SIGTERM, and kills those that do not end in time. Waits until this is done. */
     @Override
     public void close() {
-        List<Integer> all = balancers.stream().map(process -> process.number).toList();
-        signal("CONT", all);
-        signal("TERM", all);
+        List<Integer> numbers =
+                balancers.stream().map(process -> process.number).toList();
+        signal("CONT", numbers);
+        signal("TERM", numbers);
         submit(() -> {
             long deadline = System.nanoTime() + EXIT_AFTER_TERM_NANOS;
             for (BalancerProcess balancer : balancers) {
--- a/lab/src/main/java/gorsestack/lab/run/ScenarioRun.java
+++ b/lab/src/main/java/gorsestack/lab/run/ScenarioRun.java
@@ -260,15 +260,18 @@
 
     private String progress(int elapsed) {
         long from = (elapsed - PROGRESS_INTERVAL_SECONDS) * 1_000_000_000L;
-        List<ClientRequest> ended = testbed.records.clientRequests.stream()
+        List<ClientRequest> endedCalls = testbed.records.clientRequests.stream()
                 .filter(request -> request.finalTry() && request.ended() >= from)
                 .toList();
-        long served = ended.stream()
+        long served = endedCalls.stream()
                 .filter(request -> request.outcome().equals("200"))
                 .count();
         return String.format(
                 "%4d s  %5d calls ended, %.4f served, %d balancers ready",
-                elapsed, ended.size(), ended.isEmpty() ? 1 : served / (double) ended.size(), clients.ready());
+                elapsed,
+                endedCalls.size(),
+                endedCalls.isEmpty() ? 1 : served / (double) endedCalls.size(),
+                clients.ready());
     }
 
     private void awaitOpenCalls() throws InterruptedException {
--- a/lab/src/main/java/gorsestack/lab/verify/ProcessTimelines.java
+++ b/lab/src/main/java/gorsestack/lab/verify/ProcessTimelines.java
@@ -24,14 +24,14 @@
     private static final class Intervals {
         private final List<Interval> intervals = new ArrayList<>();
 
-        void begin(long at) {
-            intervals.add(new Interval(at, DISTANT));
+        void begin(long time) {
+            intervals.add(new Interval(time, DISTANT));
         }
 
-        void end(long at) {
+        void end(long time) {
             int last = intervals.size() - 1;
             if (last >= 0 && intervals.get(last).until == DISTANT) {
-                intervals.set(last, new Interval(intervals.get(last).from, at));
+                intervals.set(last, new Interval(intervals.get(last).from, time));
             }
         }
 
--- a/lab/src/test/java/gorsestack/lab/verify/VerifierTest.java
+++ b/lab/src/test/java/gorsestack/lab/verify/VerifierTest.java
@@ -48,7 +48,8 @@
         scenario = ScenarioReader.read("judge", SCENARIO);
     }
 
-    private void clientRequest(String id, String product, long at, long ended, String outcome, boolean correct) {
+    private void clientRequest(
+            String id, String product, long startedAt, long endedAt, String outcome, boolean correct) {
         records.clientRequests.add(new ClientRequest(
                 id,
                 records.clientRequests.size(),
@@ -56,10 +57,10 @@
                 product,
                 "a",
                 0,
-                at * MS,
-                at * MS,
+                startedAt * MS,
+                startedAt * MS,
                 3000 * MS,
-                ended * MS,
+                endedAt * MS,
                 outcome,
                 true,
                 correct,
@@ -69,7 +70,8 @@
                 ""));
     }
 
-    private void upstreamAttempt(String id, String product, int upstream, long at, String outcome, long respondedAt) {
+    private void upstreamAttempt(
+            String id, String product, int upstream, long startedAt, String outcome, long respondedAt) {
         String zone = upstream % 2 == 0 ? "a" : "b";
         records.upstreamAttempts.add(new UpstreamAttempt(
                 id,
@@ -80,8 +82,8 @@
                 zone,
                 0,
                 0,
-                at * MS,
-                at * MS,
+                startedAt * MS,
+                startedAt * MS,
                 outcome,
                 !outcome.equals("unprocessed"),
                 respondedAt < 0 ? Records.NEVER : respondedAt * MS));
@@ -183,7 +185,7 @@
         assertEquals("drain", violatedRules());
         records.endpointChanges.add(new EndpointChange(0, "in_service", 4000 * MS));
         upstreamAttempt("c", "read", 0, 9000, "served", 9020);
-        assertEquals("drain", violatedRules(), "back");
+        assertEquals("drain", violatedRules(), "the upstream is back in service");
     }
 
     @Test
