--- a/lab/src/main/java/gorsestack/lab/cli/SoakCommand.java
+++ b/lab/src/main/java/gorsestack/lab/cli/SoakCommand.java
@@ -77,7 +77,7 @@
         int failed = 0;
         int inconclusive = 0;
         for (long seed = first; seed <= last && System.nanoTime() < deadline; seed++) {
-            Soak.Outcome outcome = soak.play(seed);
+            Soak.Outcome outcome = soak.run(seed);
             completed++;
             if (outcome.failed()) {
                 failed++;
--- a/lab/src/main/java/gorsestack/lab/soak/Soak.java
+++ b/lab/src/main/java/gorsestack/lab/soak/Soak.java
@@ -60,8 +60,8 @@
      * Runs the schedule of a seed, and shrinks the schedule if it fails. Returns the outcome of the smallest schedule that has failed, or
      * of the whole schedule if it passes.
      */
-    public Outcome play(long seed) throws IOException, InterruptedException, InvalidScenarioException {
-        Outcome outcome = play(Schedule.of(seed, plan.balancers, plan.recoverySeconds), "");
+    public Outcome run(long seed) throws IOException, InterruptedException, InvalidScenarioException {
+        Outcome outcome = run(Schedule.of(seed, plan.balancers, plan.recoverySeconds), "");
         return outcome.failed && plan.shrink ? shrink(outcome) : outcome;
     }
 
@@ -70,7 +70,7 @@
         int next = 0;
         while (next < smallest.schedule.disturbances().size()
                 && smallest.schedule.disturbances().size() > 1) {
-            Outcome reduced = play(smallest.schedule.without(next), "-less" + next);
+            Outcome reduced = run(smallest.schedule.without(next), "-less" + next);
             if (reduced.failed) {
                 smallest = reduced;
                 next = 0;
@@ -81,7 +81,7 @@
         return smallest;
     }
 
-    private Outcome play(Schedule schedule, String folderSuffix)
+    private Outcome run(Schedule schedule, String folderSuffix)
             throws IOException, InterruptedException, InvalidScenarioException {
         Path folder = plan.output
                 .resolve("seed-" + schedule.seed() + "-"
--- a/lab/src/test/java/gorsestack/lab/soak/SoakTest.java
+++ b/lab/src/test/java/gorsestack/lab/soak/SoakTest.java
@@ -147,10 +147,10 @@
     /** A planted fault is found within two seeds. Void runs, which happen on a busy machine, do not count as one of them. */
     @Test
     void findsPlantedFaultWithinTwoConclusiveSeeds() throws Exception {
-        Soak.Outcome found = soak(ruleBreakingCommand("twice"), 2).play(2);
+        Soak.Outcome found = soak(ruleBreakingCommand("twice"), 2).run(2);
         int conclusive = found.inconclusive() ? 0 : 1;
         for (long seed = 3; (found.inconclusive() || !found.failed()) && conclusive < 2 && seed <= 6; seed++) {
-            found = soak(ruleBreakingCommand("twice"), 2).play(seed);
+            found = soak(ruleBreakingCommand("twice"), 2).run(seed);
             conclusive += found.inconclusive() ? 0 : 1;
         }
         assertTrue(found.failed(), found.findings().toString());
@@ -161,7 +161,7 @@
 
     @Test
     void balancerPassesSeed() throws Exception {
-        Soak.Outcome outcome = soak(balancerCommand(), 4).play(2);
+        Soak.Outcome outcome = soak(balancerCommand(), 4).run(2);
         assertFalse(outcome.failed(), outcome.findings().toString());
         Assumptions.assumeFalse(outcome.inconclusive(), "the run is void, because the machine was too busy");
     }
