--- a/lab/src/main/java/gorsestack/lab/net/DatagramRelay.java
+++ b/lab/src/main/java/gorsestack/lab/net/DatagramRelay.java
@@ -14,9 +14,9 @@
 import java.util.function.Supplier;
 
 /**
- * Forwards datagrams between two balancers, and applies the state of the link between them: drops, loss, delay, duplicates and reordering.
- * Each balancer sends to the address that its configuration lists for the peer. The relay forwards from the address that the receiver's
- * configuration lists for the sender, so that the receiver's check of the source address succeeds. Confined to the event loop.
+ * Forwards datagrams between two balancers, and applies the state of the link between them: drops, stalls, loss, delay, duplicates and
+ * reordering. Each balancer sends to the address that its configuration lists for the peer. The relay forwards from the address that the
+ * receiver's configuration lists for the sender, so that the receiver's check of the source address succeeds. Confined to the event loop.
  */
 public final class DatagramRelay implements AutoCloseable {
     /** The maximum extra delay of a reordered datagram, long enough that some tens of later datagrams overtake it. */
--- a/lab/src/main/java/gorsestack/lab/process/BalancerFleet.java
+++ b/lab/src/main/java/gorsestack/lab/process/BalancerFleet.java
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Starts the processes of balancers. The configuration of a balancer that was ended before lists the endpoints of that time, or none if
-     * the scenario's balancers forget their endpoints; that of a new balancer lists the current endpoints.
+     * Starts the processes of balancers. The configuration of a balancer that a signal has ended lists the endpoints of that time, or none
+     * if the scenario's balancers forget their endpoints. That of any other balancer lists the current endpoints.
      */
     public void start(List<Integer> targets) {
         submit(() -> {
--- a/lab/src/main/java/gorsestack/lab/run/FaultInjector.java
+++ b/lab/src/main/java/gorsestack/lab/run/FaultInjector.java
@@ -163,7 +163,8 @@
                 systemFault.apply(fleet.balancers.get(balancer).log());
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot write the control file of a shim, so the fault is not injected", e);
+            throw new UncheckedIOException(
+                    "cannot write the control file of a shim, so the faults of its process remain unchanged", e);
         }
     }
 
--- a/lab/src/main/java/gorsestack/lab/scenario/Scenario.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/Scenario.java
@@ -147,8 +147,12 @@
      * @param at time of the fault or, if a log line triggers it, time from which the log is watched
      * @param triggerBalancer balancer whose log triggers the fault, or empty
      * @param triggerPattern pattern of the log line that triggers the fault, or empty
+     * @param from expression that selects the parties on which the fault acts, or empty
+     * @param to expression that selects the parties at the other end of faulty links; for the kind calls, the system call and its error
      * @param size extent of the fault, whose meaning depends on the kind
      * @param restartDelay time until what the fault has ended is started again, or -1 for never
+     * @param state what becomes of the state folders of balancers before they are started again
+     * @param interval time between the parties that the fault ends or replaces one after another; 0 for all at once
      * @param measured whether metrics are computed relative to this fault
      */
     public record Fault(
--- a/lab/src/main/java/gorsestack/lab/standin/CapacityModel.java
+++ b/lab/src/main/java/gorsestack/lab/standin/CapacityModel.java
@@ -53,7 +53,7 @@
             this.onDone = onDone;
         }
 
-        /** Returns whether the job has got a slot. */
+        /** Returns whether the job has had a slot, which remains true after its release. */
         public boolean running() {
             return running;
         }
--- a/lab/src/main/java/gorsestack/lab/standin/Upstream.java
+++ b/lab/src/main/java/gorsestack/lab/standin/Upstream.java
@@ -33,7 +33,7 @@
     final Tier settings;
     final CapacityModel capacity;
     final ResponseFaults faults;
-    /** The idempotency keys, which all upstreams of the tier share. */
+    /** The store of idempotency keys, which is the same for all upstreams of the tier. */
     final IdempotencyStore idempotencyStore;
     /** The client for calls to the next tier, through the sidecar; null at the last tier. */
     final BalancerClient nextTierClient;
--- a/lab/src/main/java/gorsestack/lab/standin/UpstreamConnection.java
+++ b/lab/src/main/java/gorsestack/lab/standin/UpstreamConnection.java
@@ -93,7 +93,10 @@
         }
     }
 
-    /** Returns whether the upstream has already received the idempotency key of an attempt, and records the key otherwise. */
+    /**
+     * Returns whether the idempotency key of an attempt was received within the repeat window by an upstream that shares its keys with this
+     * one, and records the key otherwise.
+     */
     private boolean repeats(UpstreamAttempt attempt, Product product) {
         long window = (long) (product.repeatWindow() * 1e9);
         return !attempt.key().isEmpty()
--- a/lab/src/test/java/gorsestack/lab/RuleBreakingBalancer.java
+++ b/lab/src/test/java/gorsestack/lab/RuleBreakingBalancer.java
@@ -17,7 +17,17 @@
 
 /**
  * A test double for the balancer. It forwards requests round robin, and violates one rule in the way that its argument selects. Tests
- * start it as a separate process, which serves each client connection on its own thread.
+ * start it as a separate process, which serves each client connection on its own thread. The modes are:
+ *
+ * <ul>
+ *   <li>ok: violates no rule
+ *   <li>twice: sends each response twice
+ *   <li>silent: sends no response, except to health checks
+ *   <li>wrong: sends a body that no upstream produced for the request
+ *   <li>repeat: forwards POST requests without an idempotency key twice
+ *   <li>drain: ignores changes of the endpoint list
+ *   <li>topple: ignores changes of the endpoint list, and sends all requests to its first endpoint
+ * </ul>
  */
 public final class RuleBreakingBalancer {
     private final String mode;
