--- a/lab/src/main/java/gorsestack/lab/process/BalancerFleet.java
+++ b/lab/src/main/java/gorsestack/lab/process/BalancerFleet.java
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Starts the processes of balancers. The configuration of a balancer that was ended before lists the endpoints of that time, or none if
-     * the scenario's balancers forget their endpoints; that of a new balancer lists the current endpoints.
+     * Starts the processes of balancers. The configuration of a balancer that a signal has ended lists the endpoints of that time, or none
+     * if the scenario's balancers forget their endpoints. That of any other balancer lists the current endpoints.
      */
     public void start(List<Integer> targets) {
         submit(() -> {
@@ -185,9 +185,10 @@
     /** Ends all processes by SIGTERM, and kills those that do not end in time. Waits until this is done. */
     @Override
     public void close() {
-        List<Integer> all = balancers.stream().map(process -> process.number).toList();
-        signal("CONT", all);
-        signal("TERM", all);
+        List<Integer> numbers =
+                balancers.stream().map(process -> process.number).toList();
+        signal("CONT", numbers);
+        signal("TERM", numbers);
         submit(() -> {
             long deadline = System.nanoTime() + EXIT_AFTER_TERM_NANOS;
             for (BalancerProcess balancer : balancers) {
