--- a/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
@@ -311,7 +311,7 @@
         }
     }
 
-    /** Closes the upstream's idle connections and withdraws the requests to it that are not written yet. */
+    /** Closes the upstream's idle connections and stops new requests on the others; a request not yet written is not sent. */
     private void closeUnused(String upstream) {
         closeIdle(upstream);
         if (!addresses.containsKey(upstream)) {
@@ -319,7 +319,7 @@
         }
         List.copyOf(connections).stream()
                 .filter(connection -> connection.upstream.equals(upstream))
-                .forEach(UpstreamConnection::withdraw);
+                .forEach(UpstreamConnection::stopNewRequests);
     }
 
     private boolean closeLeastRecentlyUsed() {
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -343,7 +343,7 @@
     }
 
     /** Stops new requests, as the upstream accepts none: a request that has not begun to be sent is not sent. */
-    public void withdraw() {
+    public void stopNewRequests() {
         noNewRequests = true;
         if (connecting()) {
             end(Outcome.NOT_SENT); // The connection is closed when it has been established.
--- a/balancer/src/test/java/gorsestack/wire/UpstreamConnectionStatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/UpstreamConnectionStatesTest.java
@@ -161,7 +161,7 @@
                 case UPSTREAM_DRAINS -> {
                     pool.upstreamAcceptsNew = false;
                     unwanted = true;
-                    connection.withdraw();
+                    connection.stopNewRequests();
                 }
                 case CALL_ENDS -> {
                     pool.callOpen = ignoresCallEnd;
