--- a/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
+++ b/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
@@ -12,7 +12,7 @@
  * Makes all decisions of one balancer. Its adapter (the proxy or the simulator) reports each event through the public methods, with the
  * time in nanoseconds of a clock that never goes back; the policy acts through {@link PolicyActions} before the method returns. It knows no
  * protocol, does no I/O and is not thread-safe: the adapter calls all methods on one thread. For each call that an event affects, the rules
- * below are tried in order until none applies. Each mechanism is a class of its own with its own state. See docs/design.md.
+ * below are tried in order until none applies. Each mechanism is a separate class with its own state. See docs/design.md.
  */
 public final class BalancingPolicy {
     /** Number of the exempt attempt when every attempt of a call is to be cancelled. */
@@ -53,7 +53,7 @@
     private long now;
     private long lastTimerToken = EndpointWatchSchedule.TIMER_TOKEN;
 
-    /** Rules of a call by precedence. Rule 1: a call gets one final response before the client's timeout, and nothing after it. */
+    /** Rules of a call by precedence. Rule 1: a call gets exactly one final response before the client's timeout, and nothing after it. */
     private final Rule[] rules = {
         new Rule(this::isPastDeadline, this::giveUp),
         new Rule(this::isResponseCheckDue, this::checkResponse),
--- a/balancer/src/main/java/gorsestack/decision/RepeatSafety.java
+++ b/balancer/src/main/java/gorsestack/decision/RepeatSafety.java
@@ -5,8 +5,8 @@
 import gorsestack.decision.Settings.Scope;
 
 /**
- * Rule 2: no call takes effect twice. Decides whether, where and by whom a call may be repeated once an attempt of it may have executed; no
- * other class decides that. Used by the classes of this package; stateless.
+ * Rule 2: no call is executed twice unless its product permits that. Decides whether, where and by whom a call may be repeated once an
+ * attempt of it may have executed; no other class decides that. Used by the classes of this package; stateless.
  */
 final class RepeatSafety {
     private RepeatSafety() {}
--- a/balancer/src/main/java/gorsestack/wire/package-info.java
+++ b/balancer/src/main/java/gorsestack/wire/package-info.java
@@ -7,7 +7,7 @@
  * outcomes of attempts to {@link gorsestack.wire.AttemptListener}, lists of endpoints to
  * {@link gorsestack.wire.DiscoveryWatch.Listener}.
  *
- * <p>Comments refer to two rules by number. Rule 1: every call that was accepted gets one final response before the client's timeout, and
- * nothing is sent for it after that. Rule 2: nothing runs twice that must not.
+ * <p>Comments refer to two rules by number. Rule 1: every call that was accepted gets exactly one final response before the client's
+ * timeout, and nothing is sent for it after that. Rule 2: no call is executed twice unless its product permits that.
  */
 package gorsestack.wire;
