--- a/balancer/src/main/java/gorsestack/fleet/store/MemberLog.java
+++ b/balancer/src/main/java/gorsestack/fleet/store/MemberLog.java
@@ -114,8 +114,8 @@
             case "until" -> entries.headMap(line.path("index").asLong(), true).clear();
             case "chunk" -> chunks.add(line);
             case "unchunk" ->
-                chunks.removeIf(
-                        c -> c.path("index").asLong() == line.path("index").asLong());
+                chunks.removeIf(chunk ->
+                        chunk.path("index").asLong() == line.path("index").asLong());
             default ->
                 throw new IOException(file + " has a line of an unknown kind: "
                         + line.path("is").asText());
@@ -171,8 +171,8 @@
                 text.append(line(node));
             }
         }
-        chunks.forEach(c -> text.append(line(c)));
-        entries.values().forEach(e -> text.append(line(e)));
+        chunks.forEach(chunk -> text.append(line(chunk)));
+        entries.values().forEach(entry -> text.append(line(entry)));
         byte[] content = text.toString().getBytes(StandardCharsets.UTF_8);
         storage.write(file + ".new", content);
         storage.sync(file + ".new");
@@ -196,9 +196,9 @@
     private static ObjectNode members(RaftGroupMembersView view) {
         ObjectNode node = LeaseJson.object().put("index", view.getLogIndex());
         ArrayNode all = node.putArray("all");
-        view.getMembers().forEach(m -> all.add(LeaseJson.of((Member) m)));
+        view.getMembers().forEach(member -> all.add(LeaseJson.of((Member) member)));
         ArrayNode voting = node.putArray("voting");
-        view.getVotingMembers().forEach(m -> voting.add(LeaseJson.of((Member) m)));
+        view.getVotingMembers().forEach(member -> voting.add(LeaseJson.of((Member) member)));
         return node;
     }
 
@@ -212,7 +212,7 @@
 
     private static Collection<RaftEndpoint> endpoints(JsonNode members) {
         List<RaftEndpoint> endpoints = new ArrayList<>();
-        members.forEach(m -> endpoints.add(LeaseJson.member(m)));
+        members.forEach(member -> endpoints.add(LeaseJson.member(member)));
         return endpoints;
     }
 
@@ -234,12 +234,12 @@
 
     @Override
     public void persistLogEntries(List<LogEntry> added) throws IOException {
-        for (LogEntry e : added) {
+        for (LogEntry entry : added) {
             add(LeaseJson.object()
                     .put("is", "entry")
-                    .put("index", e.getIndex())
-                    .put("term", e.getTerm())
-                    .set("operation", LeaseJson.of(e.getOperation())));
+                    .put("index", entry.getIndex())
+                    .put("term", entry.getTerm())
+                    .set("operation", LeaseJson.of(entry.getOperation())));
         }
     }
 
@@ -277,8 +277,10 @@
         if (local == null || members == null) {
             return null;
         }
-        long snapshotIndex =
-                chunks.stream().mapToLong(c -> c.path("index").asLong()).max().orElse(0);
+        long snapshotIndex = chunks.stream()
+                .mapToLong(chunk -> chunk.path("index").asLong())
+                .max()
+                .orElse(0);
         RaftTermPersistentState persistentTerm = MODELS.createRaftTermPersistentStateBuilder()
                 .setTerm(term == null ? 0 : term.path("term").asInt())
                 .setVotedFor(term == null || !term.has("voted") ? null : LeaseJson.member(term.path("voted")))
--- a/lab/src/main/java/gorsestack/lab/report/RunComparison.java
+++ b/lab/src/main/java/gorsestack/lab/report/RunComparison.java
@@ -87,19 +87,19 @@
                 .append(right.stream().map(RunResult::verdict).toList())
                 .append('\n');
         for (String metric : left.get(0).metrics().keySet()) {
-            Summary before = Summary.of(left, metric);
-            Summary after = Summary.of(right, metric);
-            boolean disjoint = before.disjoint(after);
+            Summary leftSummary = Summary.of(left, metric);
+            Summary rightSummary = Summary.of(right, metric);
+            boolean disjoint = leftSummary.disjoint(rightSummary);
             if (allMetrics || disjoint) {
                 table.append(String.format(
                         "  %-34s %12.4f [%.4f %.4f] %12.4f [%.4f %.4f]%s%n",
                         metric,
-                        before.mean,
-                        before.min,
-                        before.max,
-                        after.mean,
-                        after.min,
-                        after.max,
+                        leftSummary.mean,
+                        leftSummary.min,
+                        leftSummary.max,
+                        rightSummary.mean,
+                        rightSummary.min,
+                        rightSummary.max,
                         disjoint ? "  *" : ""));
             }
         }
--- a/lab/src/main/java/gorsestack/lab/run/PartySelector.java
+++ b/lab/src/main/java/gorsestack/lab/run/PartySelector.java
@@ -85,15 +85,15 @@
 
     /** Returns a predicate for the parties that match all terms of an expression, apart from its random fractions. */
     Predicate<String> matching(String expression) {
-        Predicate<String> all = party -> true;
+        Predicate<String> allTerms = party -> true;
         for (String term : expression.split("@")) {
             String positiveTerm = term.startsWith("!") ? term.substring(1) : term;
             if (!positiveTerm.startsWith(FRACTION)) {
                 Predicate<String> matching = matchingTerm(positiveTerm);
-                all = all.and(term.startsWith("!") ? matching.negate() : matching);
+                allTerms = allTerms.and(term.startsWith("!") ? matching.negate() : matching);
             }
         }
-        return all;
+        return allTerms;
     }
 
     private Predicate<String> matchingTerm(String term) {
