--- a/balancer/src/test/java/gorsestack/decision/LoadReportsTest.java
+++ b/balancer/src/test/java/gorsestack/decision/LoadReportsTest.java
@@ -78,7 +78,7 @@
             simulation.policy.onPeerMessage(simulation.now, peer.peerMessages.get(peer.peerMessages.size() - 1));
         });
         assertTrue(byPeerMessages < 12, byPeerMessages + " calls to the slow upstream with messages of a peer");
-        assertEquals(200, peer.peerMessages.size(), "two peer messages for each response");
+        assertEquals(200, peer.peerMessages.size(), "two peer messages for each attempt that ends");
     }
 
     /**
@@ -105,23 +105,23 @@
      * all calls would stay rejected.
      */
     @Test
-    void acceptsCallsAgainWhenReportsOfOverloadAreOld() {
+    void admitsCallsAgainWhenReportsOfOverloadAreOld() {
         PolicySimulation simulation = new PolicySimulation(
                 PolicySimulation.reporting(PolicySimulation.settings(1000, 0, 1, false, Scope.ALL), 0), 1);
         simulation.updateEndpoints(Kind.CACHED, entry("u0", EndpointState.READY, 0, 0, "a"));
         for (int i = 0; i < 20; i++) {
             simulation.policy.onLoadReport(simulation.now, "u0", new double[] {1, 200});
         }
-        int[] accepted = new int[2];
+        int[] admitted = new int[2];
         for (int i = 0; i < 1100; i++) {
             int phase = i < 1000 ? 0 : 1;
             simulation.call("c" + i, "once", 1000 * MS);
-            accepted[phase] += simulation.calls.get("c" + i).attempts.size();
+            admitted[phase] += simulation.calls.get("c" + i).attempts.size();
             simulation.fulfilLater("c" + i, 10 * MS);
             simulation.runTo(simulation.now + (i == 999 ? 30_000 : phase == 0 ? 1 : 20) * MS);
         }
         assertTrue(
-                accepted[0] > 0 && accepted[0] < 150 && accepted[1] > 80,
-                accepted[0] + " calls accepted during the overload, " + accepted[1] + " after it");
+                admitted[0] > 0 && admitted[0] < 150 && admitted[1] > 80,
+                admitted[0] + " calls admitted during the overload, " + admitted[1] + " after it");
     }
 }
--- a/lab/src/test/java/gorsestack/lab/LabTest.java
+++ b/lab/src/test/java/gorsestack/lab/LabTest.java
@@ -102,7 +102,7 @@
 
     @ParameterizedTest
     @CsvSource({"ok,", "twice,lost", "silent,lost", "wrong,lost", "repeat,dup", "drain,drain"})
-    void runFailsWithRuleThatBalancerViolates(String mode, String rule) throws Exception {
+    void runFailsWithRuleThatBalancerViolatesAndPassesWithoutViolation(String mode, String rule) throws Exception {
         RunResult result = runScenario(SMALL, ruleBreakingCommand(mode));
         if (rule == null) {
             assertEquals("PASS", result.line(), result.firstViolations().toString());
