--- a/balancer/src/main/java/gorsestack/Main.java
+++ b/balancer/src/main/java/gorsestack/Main.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 
 /**
- * The entry point of the program and the root of its command line; each subcommand is a class of its own. Runs on the main thread.
+ * The entry point of the program and the root of its command line; each subcommand is a separate class. Runs on the main thread.
  */
 @Command(
         name = "gorsestack",
--- a/balancer/src/main/java/gorsestack/cli/StatusReport.java
+++ b/balancer/src/main/java/gorsestack/cli/StatusReport.java
@@ -39,7 +39,7 @@
             }
             status = new ObjectMapper().readTree(response.body());
         } catch (IOException | IllegalArgumentException e) {
-            err.println("gorsestack: " + address + " cannot be asked: " + e);
+            err.println("gorsestack: " + address + " cannot be queried: " + e);
             return EXIT_UNREACHABLE;
         }
         if (json) {
--- a/balancer/src/main/java/gorsestack/server/SignalHandlers.java
+++ b/balancer/src/main/java/gorsestack/server/SignalHandlers.java
@@ -8,7 +8,7 @@
  * ignores, as under nohup or some supervisors, stays ignored in the JVM without any message. Such signals are therefore logged at the
  * start and listed in the status.
  *
- * <p>Threads: used on the main thread during the start; the JVM runs each handler on a thread of its own for the signal.
+ * <p>Threads: used on the main thread during the start; the JVM runs each handler on a new thread that it starts for the signal.
  */
 final class SignalHandlers {
     private static final System.Logger LOG = System.getLogger("gorsestack.service");
--- a/balancer/src/main/java/gorsestack/wire/ClientConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientConnection.java
@@ -247,8 +247,8 @@
         reader.nextRequest();
         enter(State.IDLE);
         if (reader.hasReadAhead()) {
-            // This runs as a task of its own: hundreds of requests sent ahead, each answered at once, would be parsed
-            // in nested calls and overflow the stack.
+            // This runs as a separate task: hundreds of requests sent ahead, each with an immediate response, would be
+            // parsed in nested calls and overflow the stack.
             eventLoop.execute(reader::parseReadAhead);
         } else if (reader.pipelining() && handler.closing()) {
             closeIfIdle();
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -141,7 +141,7 @@
             channel.close();
             owner.closed(this);
         } else if (request.waitsForConnection()) {
-            // Nothing is sent if the call's time, the retry window or the drain grace ended, or the client
+            // Nothing is sent if the call's time, the repeat window or the drain grace ended, or the client
             // disconnected, before the connection was established. A request that is not sent has not run.
             if (!owner.acceptsRequests(this) || !attempt.mayBeSent()) {
                 attempt.notSent();
