--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -141,7 +141,7 @@
             channel.close();
             owner.closed(this);
         } else if (request.waitsForConnection()) {
-            // Nothing is sent if the call's time, the retry window or the drain grace ended, or the client
+            // Nothing is sent if the call's time, the repeat window or the drain grace ended, or the client
             // disconnected, before the connection was established. A request that is not sent has not run.
             if (!owner.acceptsRequests(this) || !attempt.mayBeSent()) {
                 attempt.notSent();
@@ -343,7 +343,7 @@
     }
 
     /** Stops new requests, as the upstream accepts none: a request that has not begun to be sent is not sent. */
-    public void withdraw() {
+    public void stopNewRequests() {
         noNewRequests = true;
         if (connecting()) {
             end(Outcome.NOT_SENT); // The connection is closed when it has been established.
