--- a/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
+++ b/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
@@ -316,7 +316,7 @@
         calls.remove(call.id);
         callsByTimer.remove(call.timerToken);
         for (int i = 0; i < call.attemptCount; i++) {
-            call.attempt(i).upstream.referencingCalls--;
+            call.attempt(i).upstream.referencingAttempts--;
         }
     }
 
@@ -369,7 +369,7 @@
         int countedAttempts = call.bodyIncomplete ? 0 : 1;
         upstream.inFlight += countedAttempts;
         upstream.attemptsSinceReport++;
-        upstream.referencingCalls++;
+        upstream.referencingAttempts++;
         upstream.locality.concurrency.trackInFlight(now, call.product, countedAttempts);
         upstream.slowStartPermit = false;
         actions.startAttempt(call.id, upstream.endpoint.id(), call.deadline - now);
--- a/balancer/src/main/java/gorsestack/decision/FleetMembership.java
+++ b/balancer/src/main/java/gorsestack/decision/FleetMembership.java
@@ -79,14 +79,14 @@
         Endpoint previous = upstream.endpoint;
         upstreams.update(upstream, endpoint);
         if (!known || previous.startedAt() != endpoint.startedAt() || previous.state() == EndpointState.GONE) {
-            restart(upstream, now);
+            resetState(upstream, now);
         }
         return upstream;
     }
 
-    private void restart(UpstreamState upstream, long now) {
+    private void resetState(UpstreamState upstream, long now) {
         outliers.setEjected(upstream, false);
-        upstream.resetAfterRestart(now);
+        upstream.forgetLearned(now);
     }
 
     /**
@@ -99,7 +99,7 @@
         upstreams.setMaintenance(id, endedAt);
         UpstreamState upstream = upstreams.find(id);
         if (upstream != null) {
-            restart(upstream, now);
+            resetState(upstream, now);
             assignLocalities(now);
         }
     }
--- a/balancer/src/main/java/gorsestack/decision/UpstreamState.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamState.java
@@ -18,7 +18,7 @@
      * Number of calls that have an attempt at this upstream. They refer to it because the upstream of a call's first
      * attempt decides where a repeat may go.
      */
-    int referencingCalls;
+    int referencingAttempts;
 
     /** Number of this balancer's own attempts that are in flight to the upstream. */
     int inFlight;
@@ -67,7 +67,7 @@
     }
 
     /** Resets what was learned before a restart, as it does not apply afterwards. */
-    void resetAfterRestart(long now) {
+    void forgetLearned(long now) {
         consecutiveFailures = 0;
         latencyRatio = 0;
         reportedAt = 0;
--- a/balancer/src/main/java/gorsestack/decision/UpstreamTable.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamTable.java
@@ -166,7 +166,7 @@
     /** Returns whether the upstream has been removed, no call refers to it, and its slot has not been freed yet. */
     boolean isReleasable(UpstreamState upstream) {
         return upstream.endpoint.state() == EndpointState.GONE
-                && upstream.referencingCalls == 0
+                && upstream.referencingAttempts == 0
                 && byId.get(upstream.endpoint.id()) == upstream;
     }
 
--- a/balancer/src/test/java/gorsestack/decision/RetryBudgetTest.java
+++ b/balancer/src/test/java/gorsestack/decision/RetryBudgetTest.java
@@ -30,22 +30,22 @@
         CallState call = call();
         call.addAttempt(new CallAttempt(new UpstreamState(0), 0));
         RetryBudget budget = new RetryBudget();
-        double hedge = budget.cost(call);
+        double hedgeCost = budget.cost(call);
         call.attemptsInFlight = 0;
-        double retry = budget.cost(call);
+        double retryCost = budget.cost(call);
         int responses = 0;
-        while (!budget.covers(retry)) {
+        while (!budget.covers(retryCost)) {
             budget.onResponse();
             responses++;
         }
         assertTrue(responses == 10 || responses == 11, "number of responses that pay for a retry: " + responses);
-        while (!budget.covers(hedge)) {
+        while (!budget.covers(hedgeCost)) {
             budget.onResponse();
             responses++;
         }
         assertTrue(responses == 34, "number of responses that pay for a hedge: " + responses);
-        budget.spend(hedge);
-        assertFalse(budget.covers(retry));
+        budget.spend(hedgeCost);
+        assertFalse(budget.covers(retryCost));
     }
 
     @Test
--- a/balancer/src/test/java/gorsestack/decision/SlowStartTest.java
+++ b/balancer/src/test/java/gorsestack/decision/SlowStartTest.java
@@ -26,7 +26,7 @@
                 new SlowStart(settings.rules(), new FleetQuota(settings), table, localities, new SeededRandom(1));
         long start = 1000 * MS;
         table.update(upstream, entry("u0", EndpointState.READY, start, 0, "a"));
-        upstream.resetAfterRestart(start);
+        upstream.forgetLearned(start);
         assertFalse(slowStart.permits(upstream, start), "no time has passed since the start");
         int permits = 0;
         for (int second = 1; second < 20; second++) {
--- a/balancer/src/test/java/gorsestack/decision/UpstreamTableTest.java
+++ b/balancer/src/test/java/gorsestack/decision/UpstreamTableTest.java
@@ -73,9 +73,9 @@
         UpstreamTable table = new UpstreamTable();
         UpstreamState first = table.findOrAdd("u0");
         first.endpoint = entry("u0", EndpointState.GONE, 0, 0, "a");
-        first.referencingCalls = 1;
+        first.referencingAttempts = 1;
         assertTrue(!table.isReleasable(first), "not releasable while a call refers to the upstream");
-        first.referencingCalls = 0;
+        first.referencingAttempts = 0;
         first.lastResponseAt = 5;
         table.release(first);
         assertTrue(!table.isReleasable(first), "not releasable twice");
