--- a/balancer/src/main/java/gorsestack/decision/AdaptiveConcurrencyLimit.java
+++ b/balancer/src/main/java/gorsestack/decision/AdaptiveConcurrencyLimit.java
@@ -4,7 +4,7 @@
 
 /**
  * Limits the attempts in flight at one locality by additive increase and multiplicative decrease on the mean latency relative to the
- * objective. It keeps about as many attempts in flight as the locality responds to in a third of the objective. Belongs to a
+ * objective. It keeps about as many attempts in flight as the locality responds to in 0.35 to 0.6 of the objective. Belongs to a
  * {@link Locality}; used on the policy's thread only. Times are in nanoseconds.
  */
 final class AdaptiveConcurrencyLimit {
@@ -38,7 +38,7 @@
 
     private static final double MAX_SAMPLE_WEIGHT = 0.2;
 
-    /** Maximum number of attempts in flight; 0 before the first minimum is set. */
+    /** Maximum number of attempts in flight; 0 until a minimum above 0 is set. */
     double limit;
     /** Lower bound of the limit. */
     double minLimit;
@@ -56,7 +56,7 @@
     private long decreasedAt;
     private long latencyAt;
 
-    /** Sets the minimum and raises the limit to it if necessary; the first call sets the initial limit. */
+    /** Sets the minimum and raises the limit to it if necessary; the first minimum above 0 sets the initial limit. */
     void setMinLimit(double minimum) {
         minLimit = DISABLED_BY_TEST ? DISABLED_MINIMUM : minimum;
         limit = limit == 0 ? INITIAL_PER_MINIMUM * minLimit : Math.max(limit, minLimit);
--- a/balancer/src/main/java/gorsestack/decision/AdmissionControl.java
+++ b/balancer/src/main/java/gorsestack/decision/AdmissionControl.java
@@ -73,7 +73,7 @@
     /**
      * Compares the attempts in flight with a limit that is lower for products of less value and for calls with less remaining time, as a
      * storm of retries that can hardly be in time would otherwise use it up. The mean over the last objective stays within the limit; the
-     * present number may exceed it by its square root, as it varies more at one of many balancers than the sum over all of them.
+     * present number may exceed it by up to its square root, as it varies more at one of many balancers than the sum over all of them.
      */
     private boolean admitsByLimit(AdaptiveConcurrencyLimit concurrency, CallState call, long now) {
         concurrency.trackInFlight(now, call.product, 0);
--- a/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
+++ b/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Applies an operator's maintenance order, which overrides discovery: the upstream is out of service if {@code endedAt} is
-     * Long.MAX_VALUE, else in service and warming up from that time on.
+     * Applies an operator's maintenance order: the upstream is in maintenance, whatever discovery reports, if {@code endedAt} is
+     * Long.MAX_VALUE; else its maintenance ended at that time, from which it warms up.
      */
     public void setMaintenance(long currentTime, String id, long endedAt) {
         now = currentTime;
@@ -121,14 +121,14 @@
         admission.setRetryAfterJitter(jitter);
     }
 
-    /** Returns what this process has learned, for its successor, which would otherwise reject calls for some seconds. */
+    /** Returns what this process has learned, for its successor and for peers, which would otherwise reject calls for some seconds. */
     public List<LearnedLocality> exportLearned() {
         return Arrays.stream(localities)
                 .map(locality -> locality.exportLearned(now))
                 .toList();
     }
 
-    /** Replaces the state of the localities by what another process of this balancer has learned. */
+    /** Replaces the state of the localities by what another process of this balancer, or its peers, have learned. */
     public void restoreLearned(long currentTime, List<LearnedLocality> learned) {
         now = currentTime;
         for (int i = 0; i < Math.min(learned.size(), localities.length); i++) {
--- a/balancer/src/main/java/gorsestack/decision/FleetMembership.java
+++ b/balancer/src/main/java/gorsestack/decision/FleetMembership.java
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Applies the state of one endpoint; an upstream that is new or has restarted starts with nothing learned. */
+    /** Applies the state of one endpoint; forgets what was learned if the upstream is new, has restarted or had been removed. */
     private UpstreamState apply(Endpoint endpoint, long now) {
         boolean known = upstreams.find(endpoint.id()) != null;
         UpstreamState upstream = upstreams.findOrAdd(endpoint.id());
@@ -90,10 +90,10 @@
     }
 
     /**
-     * Applies an operator's maintenance order, which overrides discovery.
+     * Applies an operator's maintenance order. An upstream in maintenance gets no attempts, whatever discovery reports.
      *
-     * @param endedAt when the upstream was returned to service, from which time it warms up, or
-     *     {@link UpstreamTable#NOT_ENDED} to take it out of service
+     * @param endedAt when the maintenance ended, from which time the upstream warms up, or
+     *     {@link UpstreamTable#NOT_ENDED} to begin it
      */
     void setMaintenance(String id, long endedAt, long now) {
         upstreams.setMaintenance(id, endedAt);
--- a/balancer/src/main/java/gorsestack/decision/HedgingPolicy.java
+++ b/balancer/src/main/java/gorsestack/decision/HedgingPolicy.java
@@ -18,7 +18,7 @@
         this.limits = limits;
     }
 
-    /** Sets a new call's attempt limit and hedging delay: one attempt where a repeat could do harm or the body is incomplete, else two. */
+    /** Sets a new call's attempt limit and hedging delay: one where a repeat could do harm or the body is incomplete, else up to two. */
     void plan(CallState call, long now) {
         boolean single = call.bodyIncomplete || call.product.repeat() == Repeat.NON_IDEMPOTENT;
         call.attemptLimit = single ? 1 : Math.min(MAX_CONCURRENT_ATTEMPTS, limits.maxAttempts());
--- a/balancer/src/main/java/gorsestack/decision/LearnedLocality.java
+++ b/balancer/src/main/java/gorsestack/decision/LearnedLocality.java
@@ -58,7 +58,7 @@
         return column(RESPONSE_RATE);
     }
 
-    /** Returns the number of upstreams in the locality; empty for a row from a version that did not record it. */
+    /** Returns the number of upstreams in the locality; empty for a row of another length, as from a version that did not record it. */
     public OptionalDouble memberCount() {
         return row.length == COLUMNS ? OptionalDouble.of(row[MEMBER_COUNT]) : OptionalDouble.empty();
     }
@@ -80,7 +80,7 @@
 
     /**
      * Returns this state with concurrency limit and response rate multiplied by a factor. A row that is too short to
-     * have all columns is returned unchanged.
+     * have both is returned unchanged.
      */
     public LearnedLocality decayed(double factor) {
         double[] changed = row.clone();
--- a/balancer/src/main/java/gorsestack/decision/Locality.java
+++ b/balancer/src/main/java/gorsestack/decision/Locality.java
@@ -20,7 +20,7 @@
 
     /** Number of ejected members. */
     int ejectedCount;
-    /** Number of members that are not warming up. */
+    /** Number of members that were not warming up when the members were last set. */
     int warmCount;
 
     /** Mean nominal size of the members. */
@@ -57,7 +57,7 @@
         return members.length - ejectedCount;
     }
 
-    /** Returns the learned state with which another process of this balancer may start. */
+    /** Returns the learned state with which another process of this balancer, or a peer, may start. */
     LearnedLocality exportLearned(long now) {
         return LearnedLocality.ofRow(
                 concurrency.limit,
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Adopts the state that another process learned, with its concurrency limit scaled to this process's quota. Ignores
-     * malformed state, such as a row from another version or one with implausible values.
+     * Adopts the state that another process or peers learned, with its concurrency limit scaled to this process's quota.
+     * Ignores malformed state, such as a row of unknown length or one with implausible values.
      */
     void restoreLearned(LearnedLocality learned, long now, double quota) {
         if (learned.isWellFormed()) {
--- a/balancer/src/main/java/gorsestack/decision/LocalityLoad.java
+++ b/balancer/src/main/java/gorsestack/decision/LocalityLoad.java
@@ -2,8 +2,8 @@
 
 /**
  * The load of one locality, computed from the load reports of its upstreams. Latencies are ratios to the mean latency
- * objective of all products. {@link LocalityRouter} refreshes it, and {@link AdmissionControl} and
- * {@link UpstreamSelector} read it, all on the thread of the {@link BalancingPolicy}.
+ * objective of all products. {@link LocalityRouter} refreshes and reads it; {@link AdmissionControl},
+ * {@link LoadReports} and {@link UpstreamSelector} read it, all on the thread of the {@link BalancingPolicy}.
  */
 final class LocalityLoad {
     /** Initial value of the sums that are used as divisors, which prevents a division by 0 without reports. */
--- a/balancer/src/main/java/gorsestack/decision/LocalityRouter.java
+++ b/balancer/src/main/java/gorsestack/decision/LocalityRouter.java
@@ -23,7 +23,7 @@
 
     private final Locality[] localities;
     private final SeededRandom random;
-    /** The time since which each locality has been unhealthy; 0 if it is healthy. */
+    /** The time at which each locality became unhealthy, kept until traffic may return to it; 0 otherwise. */
     private final long[] unhealthySince;
     /** The earliest time at which traffic may return to each locality. */
     private final long[] returnAt;
--- a/balancer/src/main/java/gorsestack/decision/PolicyActions.java
+++ b/balancer/src/main/java/gorsestack/decision/PolicyActions.java
@@ -21,7 +21,7 @@
     /** Ends the call with an error, which leaves open whether the call has taken effect. */
     void errored(String apiCall);
 
-    /** Schedules a call of {@link BalancingPolicy#onTimer} with this token. */
+    /** Schedules a call of {@link BalancingPolicy#onTimer} with this token at the time {@code dueAt}. */
     void scheduleTimer(long token, long dueAt);
 
     /** Sends a message of at most 256 bytes, which may be lost, to the balancer with this index. */
@@ -30,6 +30,6 @@
     /** Closes the idle connections to an upstream. */
     void closeIdleConnections(String upstream);
 
-    /** Starts a watch of the endpoint list, to which discovery responds with one update. */
+    /** Starts a watch of the endpoint list; its updates, or its failure, go to {@link BalancingPolicy#onEndpointUpdate}. */
     void watchEndpoints();
 }
--- a/balancer/src/main/java/gorsestack/decision/Settings.java
+++ b/balancer/src/main/java/gorsestack/decision/Settings.java
@@ -10,11 +10,12 @@
  * @param instances the number of balancers in its tier
  * @param tier 0 for the first tier, which receives the clients' calls
  * @param zone this balancer's zone
- * @param zones all zones, in the order in which traffic spills over to them
+ * @param zones all zones; traffic spills over to them in this order, cyclically from the balancer's own zone on
  * @param watchesEndpoints whether the balancer has to watch the endpoint list; otherwise the list is pushed to it
- * @param nominalWeights whether endpoints have nominal weights
+ * @param nominalWeights whether the weights in the endpoint list are the upstreams' nominal sizes
  * @param valueByWork whether a product's value is measured by the work done for it
- * @param worstProductWeight the weight of the worst-served product in the optimization target
+ * @param worstProductWeight how much the worst-served product counts in the operator's optimization target, 0 for not at all; the more it
+ *     counts, the less admission depends on the products' values
  * @param clockResolution the length of one step of the clock
  */
 public record Settings(
@@ -37,7 +38,7 @@
     public enum Repeat {
         /** A repeat has the same effect as a single request. */
         IDEMPOTENT,
-        /** A repeat has no effect within the product's window and scope, as upstreams recognize it. */
+        /** Within the repeat window, the upstreams in the scope recognize a repeat and do not execute it again. */
         DEDUPLICATED,
         /** A repeat may do harm. */
         NON_IDEMPOTENT
@@ -49,11 +50,14 @@
         ALL,
         /** The upstreams of the first attempt's zone. */
         ZONE,
-        /** The upstreams of the first attempt's cell. */
+        /** The upstreams of the first attempt's cell; see {@link Endpoint#cell}. */
         CELL
     }
 
-    /** Returns a zone's index among the localities: this balancer's own is first, the others follow in order, unknown ones are last. */
+    /**
+     * Returns a zone's index among the localities: 0 for this balancer's own zone, then the others in the cyclic order of {@code zones},
+     * and {@code zones.size()} for an unknown zone. If the balancer's own zone is not listed, the first zone counts as its own.
+     */
     int localityOf(String endpointZone) {
         int own = Math.max(0, zones.indexOf(zone));
         int position = zones.indexOf(endpointZone);
@@ -65,7 +69,7 @@
         return reports.inFlight() >= 0;
     }
 
-    /** Returns these settings with repeat windows shortened by the longest time from the decision on an attempt to its last byte. */
+    /** Returns these settings with repeat windows shortened by a margin for the time from the decision on an attempt to its last byte. */
     public Settings withShorterRepeatWindows(long margin) {
         List<Product> shortened = products.stream()
                 .map(p -> new Product(
@@ -132,7 +136,13 @@
             long maxRetryAfter,
             boolean peerMessagesAllowed) {}
 
-    /** The columns of a load report, and the indices of those with the calls in flight and the responses per second; -1 for none. */
+    /**
+     * The format of the load reports that upstreams send.
+     *
+     * @param columns the names of a report's columns
+     * @param inFlight the index of the column with the calls in flight; -1 if there is none
+     * @param rate the index of the column with the responses per second; -1 if there is none
+     */
     public record Reports(List<String> columns, int inFlight, int rate) {
         /** Values from here on are implausible: no upstream has as many calls in flight, or as many responses per second. */
         private static final double MAX_VALUE = 1e9;
@@ -145,7 +155,10 @@
             return value(row, inFlight);
         }
 
-        /** Returns the responses per second; -1 if reports have no such column, NaN if the row lacks a plausible number in it. */
+        /**
+         * Returns the responses per second; -1 if reports have no such column, so that the load is computed without a rate, and NaN if the
+         * row has no plausible number in it, so that the report is ignored.
+         */
         double rateIn(double[] row) {
             double responsesPerSecond = value(row, rate);
             return rate >= 0 && responsesPerSecond < 0 ? Double.NaN : responsesPerSecond;
@@ -160,7 +173,9 @@
     /**
      * Parameters of discovery and of slow start that a deployment sets.
      *
-     * @param watchDeadline the time within which the endpoint list has to be requested
+     * @param watchDeadline the time after which every endpoint update counts as delivered; requests for the list are scheduled within it.
+     *     After a start, it is also the longest wait for a list, the period in which a restart storm is detected, and the uptime below
+     *     which a balancer counts as recently started.
      * @param slowStartTime the time for which an upstream warms up after its start
      * @param initialCapacityFraction the fraction of its capacity that an upstream has at its start
      * @param overloadMultiple the multiple of its present capacity at which an upstream fails from overload
--- a/balancer/src/main/java/gorsestack/decision/UpstreamState.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamState.java
@@ -12,21 +12,21 @@
     Endpoint endpoint;
     Locality locality;
     UpstreamClass upstreamClass;
-    /** Hash of the id, which identifies the upstream in messages between peers and orders a balancer's subset. */
+    /** Hash of the id, which identifies the upstream in messages between peers and gives each balancer its own order of upstreams. */
     int idHash;
     /**
-     * Number of calls that have an attempt at this upstream. They refer to it because the upstream of a call's first
-     * attempt decides where a repeat may go.
+     * Number of attempts at this upstream whose calls have not been released. They refer to it because the upstream of a
+     * call's first attempt decides where a repeat may go.
      */
     int referencingAttempts;
 
-    /** Number of this balancer's own attempts that are in flight to the upstream. */
+    /** Number of this balancer's attempts in flight to the upstream, without those whose request body is still arriving. */
     int inFlight;
     /** Credit in the weighted round-robin, which grows at each visit; an attempt costs 1. */
     double rotationCredit;
     /** Mean latency ratio of recent attempts, or of recent load reports where they are used; 0 if unknown. */
     double latencyRatio;
-    /** Time at which the upstream last responded to an attempt, with success or an error, such as a refused connection. */
+    /** Time at which an attempt last ended with a conclusive outcome other than a timeout, even a refused connection; 0 if never. */
     long lastResponseAt;
 
     int consecutiveFailures;
@@ -39,12 +39,12 @@
      * missing response last raised the latency; 0 if never.
      */
     long reportedAt;
-    /** Number of calls in flight at the upstream, from all balancers, according to its load reports. */
+    /** Moving mean, over load reports, of the number of calls in flight at the upstream from all balancers. */
     double reportedInFlight;
-    /** Number of this balancer's attempts since the newest load report. */
+    /** Number of this balancer's attempts since a load report or a missing response last updated the upstream's load. */
     int attemptsSinceReport;
 
-    /** Whether the last slow-start draw permitted an attempt that has not been sent yet; used while warming up. */
+    /** Whether the last slow-start draw, or an earlier one, permitted an attempt that has not been sent; used while warming up. */
     boolean slowStartPermit;
     /** Time of the last slow-start draw; used while warming up. */
     long slowStartDrawnAt;
@@ -60,13 +60,13 @@
 
     /**
      * Returns the throughput by Little's law: the calls in flight divided by their latency. A queue raises both in the
-     * same proportion.
+     * same proportion. The calls in flight include the next one and are at least the nominal size.
      */
     double throughput() {
         return Math.max(size(), reportedInFlight + 1) / Math.max(1e-3, latencyRatio);
     }
 
-    /** Resets what was learned before a restart, as it does not apply afterwards. */
+    /** Forgets what was learned, as it does not apply to an upstream that is new, has restarted or gets a maintenance order. */
     void forgetLearned(long now) {
         consecutiveFailures = 0;
         latencyRatio = 0;
--- a/balancer/src/main/java/gorsestack/decision/UpstreamTable.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamTable.java
@@ -18,8 +18,8 @@
  */
 final class UpstreamTable {
     /**
-     * Marks maintenance that has not ended, in place of the time at which it ended: the upstream stays out of service
-     * until an operator returns it to service.
+     * Marks maintenance that has not ended, in place of the time at which it ended: the upstream stays in maintenance
+     * until an operator ends it.
      */
     static final long NOT_ENDED = Long.MAX_VALUE;
 
@@ -92,27 +92,26 @@
         maintenance.put(id, endedAt);
     }
 
-    /** Returns when an operator returned the upstream to service, or {@link #NOT_ENDED}; 0 if there is no order. */
+    /** Returns when the upstream's maintenance ended, or {@link #NOT_ENDED}; 0 if there is no maintenance order. */
     private long maintenanceEndedAt(UpstreamState upstream) {
         return maintenance.isEmpty() ? 0 : maintenance.getOrDefault(upstream.endpoint.id(), 0L);
     }
 
     /**
-     * Returns whether attempts may go to the upstream: discovery lists it as ready and no operator has taken it out of
-     * service.
+     * Returns whether attempts may go to the upstream: discovery lists it as ready and it is not in maintenance.
      */
     boolean isAvailable(UpstreamState upstream) {
         return upstream.endpoint.state() == EndpointState.READY && maintenanceEndedAt(upstream) != NOT_ENDED;
     }
 
-    /** Returns when the upstream last started or was returned to service by an operator; 0 if that was long ago. */
+    /** Returns when the upstream last started or its maintenance last ended; 0 if that was long ago. */
     long startedAt(UpstreamState upstream) {
         long endedAt = maintenanceEndedAt(upstream);
         long startedAt = upstream.endpoint.startedAt();
         return endedAt == NOT_ENDED ? startedAt : Math.max(startedAt, endedAt);
     }
 
-    /** Returns whether the upstream started less than the slow-start time ago. */
+    /** Returns whether the upstream started, or its maintenance ended, less than the slow-start time ago. */
     boolean isWarmingUp(UpstreamState upstream, long now, long slowStartTime) {
         long startedAt = startedAt(upstream);
         return startedAt > 0 && now - startedAt < slowStartTime;
