--- a/balancer/src/main/java/gorsestack/invariant/CloseReason.java
+++ b/balancer/src/main/java/gorsestack/invariant/CloseReason.java
@@ -4,13 +4,13 @@
 public enum CloseReason {
     /** The client or the operating system closed, half-closed or reset the connection. */
     CLIENT_GONE,
-    /** The client's first request did not arrive within the time allowed for it. */
+    /** The client had sent no request when the connection was closed, because it was overdue or for a reason of {@link #IDLE}. */
     NEVER_ASKED,
     /** The connection was idle when connections had to be closed: over the limit, at shutdown, or to move clients to another balancer. */
     IDLE,
     /** The last response on the connection carried "Connection: close". */
     LAST_ANSWER,
-    /** The input was malformed or not completed in time; an error response was written. */
+    /** A request was malformed, rejected or not completed in time; an error response was written unless another was under way. */
     BAD_REQUEST,
     /** The client pipelined more than the balancer buffers; the buffered requests have been served. */
     SENT_TOO_MUCH,
@@ -20,7 +20,7 @@
     ANSWER_CUT,
     /** The client does not read its response. */
     STALLED,
-    /** An error response has been written, and the number of client connections is over the limit. */
+    /** The last response has been written, the connection waited for the client to close it, and connections were over the limit. */
     ROOM,
     /** The balancer process shuts down. */
     SHUTDOWN
--- a/balancer/src/main/java/gorsestack/settings/BufferLimits.java
+++ b/balancer/src/main/java/gorsestack/settings/BufferLimits.java
@@ -9,7 +9,7 @@
  * @param relayBytes the body bytes that may wait to be written for one message
  * @param totalRelayBytes the body bytes that may wait to be written for all messages together: a seventh of the heap
  * @param unroutedBodyBytes the body bytes that are read before an upstream has been found, so that a disconnect of the client is
- *     detected; some milliseconds of reading, and a third of what all messages may hold
+ *     detected; some milliseconds of reading, and a third of what the bodies of all such messages together may hold
  * @param bufferedResponseBytes the largest response that is buffered until it is complete
  * @param maxBufferedResponses the number of responses that may be buffered at the same time; together with the copies that are being
  *     written, they take a sixth of the heap
--- a/balancer/src/main/java/gorsestack/settings/CallTimings.java
+++ b/balancer/src/main/java/gorsestack/settings/CallTimings.java
@@ -7,8 +7,9 @@
  *
  * @param deadlineBackstopNanos how long before its deadline a call is ended if the policy has not ended it. The policy responds two of
  *     its steps before the deadline, so this only ends calls that the policy has missed.
- * @param responseMarginNanos how long before its deadline a response is written: half of the 99th percentile of the time that responses
- *     take through a balancer during the slowest start. The policy's slack of 50 ms and its two steps cover the rest.
+ * @param responseMarginNanos how long before its deadline a response is written, but at most a tenth of the timeout: half of the 99th
+ *     percentile of the time that responses take through a balancer during the slowest start. The policy's slack of 50 ms and its two steps
+ *     cover the rest. Repeat windows are shortened by this time as well.
  * @param sweepIntervalNanos the interval of the checks on calls and connections
  * @param warmUpNanos the longest duration of each of the two parts of the warm-up; three times what one takes on an idle core
  */
--- a/balancer/src/main/java/gorsestack/settings/ClientLimits.java
+++ b/balancer/src/main/java/gorsestack/settings/ClientLimits.java
@@ -9,12 +9,13 @@
  *     idle connections
  * @param spareConnections the number of connections accepted beyond {@code maxConnections} while older ones are being closed
  * @param listenBacklog the number of connections that the system may queue before they are accepted
- * @param requestHeadTimeoutNanos the longest time from connecting until the request head is complete. A client may take 2 s; an error
- *     response is due 3 s after connecting, and connections are checked every quarter of a second.
+ * @param requestHeadTimeoutNanos the longest time until the request head is complete, from connecting or from the first bytes of a later
+ *     request. A client may take 2 s; an error response is due 3 s after connecting, and connections are checked every quarter of a second.
  * @param stallTimeoutNanos the longest pause within a request body
  * @param maxNanosPerBodyByte the longest time per byte of a request body; the resulting rate is a quarter of what slow legitimate
  *     clients reach
- * @param idleTimeoutNanos the time after which an idle connection may be closed, as the protocol allows
+ * @param idleTimeoutNanos the time after which a connection that is idle, or has not carried a request, may be closed, as the protocol
+ *     allows
  * @param firstRequestGraceNanos the time during which a new connection is not treated as idle. Clients send immediately, but on a loaded
  *     core the request is read some tens of milliseconds later.
  * @param closeLingerNanos how long a connection stays open so that the client can read its error response. It is short because, in a
