--- a/balancer/src/test/java/gorsestack/decision/CallStateTest.java
+++ b/balancer/src/test/java/gorsestack/decision/CallStateTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void returnsFirstAttemptThatMayHaveExecuted() {
+    void returnsFirstPossiblyExecutedAndLastAttemptAndCountsThoseInFlight() {
         CallState call = new CallState(
                 "c",
                 1,
--- a/balancer/src/test/java/gorsestack/decision/FleetMembershipTest.java
+++ b/balancer/src/test/java/gorsestack/decision/FleetMembershipTest.java
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Discovery may list an upstream that operators have taken out of service, also with a new start time or, after it
-     * was removed, in another slot. Maintenance has to hold in each of these cases.
+     * Discovery may list an upstream that is in maintenance, also with a new start time or, after it was removed, in another
+     * slot. Maintenance has to hold in each of these cases.
      */
     @Test
     void sendsNothingToUpstreamInMaintenanceWhenDiscoveryListsIt() {
--- a/balancer/src/test/java/gorsestack/decision/IdleConnectionPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/IdleConnectionPolicyTest.java
@@ -9,7 +9,7 @@
 
 /** Tests when idle connections are closed. */
 class IdleConnectionPolicyTest {
-    /** Guards against full connection tables of upstreams to each of which each of a thousand balancers keeps a connection. */
+    /** Without it, a thousand balancers that each keep an idle connection would fill an upstream's connection table. */
     @Test
     void closesIdleConnectionsOnlyWhenBalancersAreMany() {
         for (int instances : new int[] {2, 1000}) {
@@ -22,7 +22,7 @@
             }
             assertTrue(
                     instances == 2 ? simulation.idleConnectionCloses == 0 : simulation.idleConnectionCloses >= 15,
-                    instances + ": " + simulation.idleConnectionCloses);
+                    instances + " balancers, idle connections closed: " + simulation.idleConnectionCloses);
         }
     }
 }
--- a/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
+++ b/balancer/src/test/java/gorsestack/decision/PolicySimulation.java
@@ -173,7 +173,7 @@
         policy.onApiCall(now, id, product, "t", remainingTime);
     }
 
-    /** Takes an upstream out of service or returns it, unless it is in that state already. */
+    /** Begins or ends the maintenance of an upstream, unless it is in that state already. */
     void setMaintenance(String id, boolean begins) {
         if (begins ? inMaintenance.add(id) : inMaintenance.remove(id)) {
             policy.setMaintenance(now, id, begins ? UpstreamTable.NOT_ENDED : now);
--- a/balancer/src/test/java/gorsestack/decision/RetryBudgetTest.java
+++ b/balancer/src/test/java/gorsestack/decision/RetryBudgetTest.java
@@ -8,7 +8,7 @@
 import gorsestack.decision.Settings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** Tests how many further attempts the successful ones allow. */
+/** Tests how many retries and hedged requests the budget allows after a number of successful responses. */
 class RetryBudgetTest {
     private static CallState call() {
         return new CallState("c", 1, PolicySimulation.product("p", Repeat.IDEMPOTENT, Scope.ALL));
@@ -38,6 +38,7 @@
             budget.onResponse();
             responses++;
         }
+        // The sum of ten times 0.03 may be rounded to slightly less than 0.3.
         assertTrue(responses == 10 || responses == 11, "number of responses that pay for a retry: " + responses);
         while (!budget.covers(hedgeCost)) {
             budget.onResponse();
--- a/balancer/src/test/java/gorsestack/settings/LimitsTest.java
+++ b/balancer/src/test/java/gorsestack/settings/LimitsTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import org.junit.jupiter.api.Test;
 
-/** Compares every derived limit with its expected value, which guards against values that change while the limits are restructured. */
+/** Compares every derived limit with its expected value, so that no limit changes unnoticed. */
 class LimitsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void derivesEveryLimitWhenDiscoveryIsPolled() throws JsonProcessingException {
+    void derivesEveryLimitWhenBalancerWatchesEndpoints() throws JsonProcessingException {
         Limits limits = limits(1024, """
                 {
                   "membershipMode": "subscribe",
