--- a/balancer/src/main/java/gorsestack/decision/EndpointUpdate.java
+++ b/balancer/src/main/java/gorsestack/decision/EndpointUpdate.java
@@ -19,7 +19,7 @@
         SNAPSHOT,
         /** Changes only: an endpoint that it does not contain is unchanged. */
         DELTA,
-        /** The poll failed and returned no endpoints. */
+        /** The poll failed and returned no endpoints. Only the simulator reports this; the proxy's watch retries by itself. */
         FAILED
     }
 
--- a/balancer/src/main/java/gorsestack/invariant/CloseReason.java
+++ b/balancer/src/main/java/gorsestack/invariant/CloseReason.java
@@ -14,7 +14,7 @@
     BAD_REQUEST,
     /** The client pipelined more than the balancer buffers; the buffered requests have been served. */
     SENT_TOO_MUCH,
-    /** The response was sent before the request body was complete, and the rest of the body has arrived or has stalled. */
+    /** The response was sent before the request body was complete, and the rest has arrived, is malformed or has stalled. */
     ANSWERED_EARLY,
     /** The upstream's response was cut off after its first bytes had been forwarded. */
     ANSWER_CUT,
--- a/balancer/src/test/java/gorsestack/decision/DecisionTrace.java
+++ b/balancer/src/test/java/gorsestack/decision/DecisionTrace.java
@@ -83,7 +83,7 @@
         boolean open = true;
     }
 
-    /** One call, which is completed once its response has started or its client has disconnected. */
+    /** One call, which is completed once it has a response, streamed ones from their start, or its client has disconnected. */
     private static final class ApiCall {
         String id;
         Instance instance;
@@ -521,7 +521,7 @@
                 () -> on(instance).onTimer(now, token));
     }
 
-    /** Delivers most messages to another instance of this trace, whatever the index; the others are lost. */
+    /** Delivers a random part of the messages to another instance of this trace, whatever the index; the others are lost. */
     @Override
     public void sendToPeer(int peer, byte[] message) {
         record(ActionKind.SEND_TO_PEER, "tell", peer, HexFormat.of().formatHex(message));
--- a/balancer/src/test/java/gorsestack/decision/DecisionTraceSettings.java
+++ b/balancer/src/test/java/gorsestack/decision/DecisionTraceSettings.java
@@ -38,7 +38,7 @@
                 MILLISECOND);
     }
 
-    /** Returns the settings of another instance of the same balancer. */
+    /** Returns the settings of the balancer with another index in the same tier. */
     static Settings withIndex(Settings settings, int index) {
         return new Settings(
                 index,
--- a/balancer/src/test/java/gorsestack/decision/IdleConnectionPolicyTest.java
+++ b/balancer/src/test/java/gorsestack/decision/IdleConnectionPolicyTest.java
@@ -9,7 +9,7 @@
 
 /** Tests when idle connections are closed. */
 class IdleConnectionPolicyTest {
-    /** Without it, a thousand balancers that each keep an idle connection would fill an upstream's connection table. */
+    /** Without the closes, a thousand balancers that each keep an idle connection would fill an upstream's connection table. */
     @Test
     void closesIdleConnectionsOnlyWhenBalancersAreMany() {
         for (int instances : new int[] {2, 1000}) {
--- a/balancer/src/test/java/gorsestack/decision/UpstreamSelectorTest.java
+++ b/balancer/src/test/java/gorsestack/decision/UpstreamSelectorTest.java
@@ -29,7 +29,7 @@
         }
     }
 
-    /** One of many balancers sends each upstream too few attempts to learn that the whole class is slow. */
+    /** With less than one attempt for each upstream, a balancer can learn that a class of upstreams is slow only from the whole class. */
     @Test
     void learnsSpeedOfClassFromAllItsUpstreams() {
         PolicySimulation simulation = new PolicySimulation(PolicySimulation.settings(1, 0, 1, false, Scope.ALL), 1);
