--- a/balancer/src/test/java/gorsestack/decision/RetryBudgetTest.java
+++ b/balancer/src/test/java/gorsestack/decision/RetryBudgetTest.java
@@ -8,7 +8,7 @@
 import gorsestack.decision.Settings.Scope;
 import org.junit.jupiter.api.Test;
 
-/** Tests how many further attempts the successful ones allow. */
+/** Tests how many retries and hedged requests the budget allows after a number of successful responses. */
 class RetryBudgetTest {
     private static CallState call() {
         return new CallState("c", 1, PolicySimulation.product("p", Repeat.IDEMPOTENT, Scope.ALL));
@@ -30,22 +30,23 @@
         CallState call = call();
         call.addAttempt(new CallAttempt(new UpstreamState(0), 0));
         RetryBudget budget = new RetryBudget();
-        double hedge = budget.cost(call);
+        double hedgeCost = budget.cost(call);
         call.attemptsInFlight = 0;
-        double retry = budget.cost(call);
+        double retryCost = budget.cost(call);
         int responses = 0;
-        while (!budget.covers(retry)) {
+        while (!budget.covers(retryCost)) {
             budget.onResponse();
             responses++;
         }
+        // The sum of ten times 0.03 may be rounded to slightly less than 0.3.
         assertTrue(responses == 10 || responses == 11, "number of responses that pay for a retry: " + responses);
-        while (!budget.covers(hedge)) {
+        while (!budget.covers(hedgeCost)) {
             budget.onResponse();
             responses++;
         }
         assertTrue(responses == 34, "number of responses that pay for a hedge: " + responses);
-        budget.spend(hedge);
-        assertFalse(budget.covers(retry));
+        budget.spend(hedgeCost);
+        assertFalse(budget.covers(retryCost));
     }
 
     @Test
