--- a/balancer/src/main/java/gorsestack/cli/StateReport.java
+++ b/balancer/src/main/java/gorsestack/cli/StateReport.java
@@ -20,16 +20,17 @@
     private StateReport() {}
 
     /**
-     * Prints a state file.
+     * Prints the part of a state file that can be used.
      *
      * @param json whether to print one JSON object rather than lines of text
-     * @return the exit code: 0 if the file is intact, 1 if it is damaged, 2 if it cannot be read
+     * @return the exit code: 0 if the file is complete; 1 if it is damaged, empty, no state file or an intact file of a later version, of
+     *     which only a part or nothing can be used; 2 if it cannot be read
      */
     public static int show(Path file, boolean json, PrintStream out, PrintStream err) {
-        StateCodec.DecodedState read;
+        StateCodec.DecodedState decoded;
         try {
-            read = StateCodec.read(new String(Files.readAllBytes(file), StandardCharsets.UTF_8));
-            PersistentState state = read.state();
+            decoded = StateCodec.read(new String(Files.readAllBytes(file), StandardCharsets.UTF_8));
+            PersistentState state = decoded.state();
             if (json) {
                 out.println(new ObjectMapper().writeValueAsString(state));
             } else {
@@ -39,8 +40,8 @@
             err.println("gorsestack: " + file + ": " + (Files.exists(file) ? e.toString() : "no such file"));
             return EXIT_UNREADABLE;
         }
-        if (!read.complete()) {
-            err.println("gorsestack: " + file + ": " + read.damage());
+        if (!decoded.complete()) {
+            err.println("gorsestack: " + file + ": " + decoded.damage());
             return EXIT_DAMAGED;
         }
         return EXIT_OK;
@@ -49,18 +50,18 @@
     private static void printText(PersistentState state, PrintStream out) {
         out.println("balancer     " + (state.name().isEmpty() ? "-" : state.name()));
         out.println("incarnation  " + state.incarnation());
-        out.println("written      " + time(state.writtenAt()));
+        out.println("written      " + timeText(state.writtenAt()));
         state.maintenanceOrders()
                 .forEach((upstream, order) -> out.println("by hand      " + upstream
                         + (order.endedAt() == PersistentState.NOT_ENDED ? " out, said " : " called back, said ")
-                        + time(order.orderedAt())));
+                        + timeText(order.orderedAt())));
         state.learned()
-                .forEach(row ->
-                        out.println("learnt       " + Arrays.toString(row.toRow()) + " at " + time(state.learnedAt())));
+                .forEach(row -> out.println(
+                        "learnt       " + Arrays.toString(row.toRow()) + " at " + timeText(state.learnedAt())));
         if (state.endpointSnapshot() != null) {
             out.println("list         index " + state.endpointSnapshot().index() + " of "
                     + state.endpointSnapshot().discovery() + ", confirmed "
-                    + time(state.endpointSnapshot().confirmed()));
+                    + timeText(state.endpointSnapshot().confirmed()));
             state.endpointSnapshot()
                     .members()
                     .forEach(member -> out.println("             " + member.name() + " " + member.address() + " "
@@ -68,7 +69,8 @@
         }
     }
 
-    private static String time(long nanos) {
-        return nanos == 0 ? "-" : Instant.ofEpochSecond(0, nanos).toString();
+    /** Returns a time in nanoseconds since 1970 as text in UTC, or "-" for 0, which means never. */
+    private static String timeText(long epochNanos) {
+        return epochNanos == 0 ? "-" : Instant.ofEpochSecond(0, epochNanos).toString();
     }
 }
--- a/balancer/src/main/java/gorsestack/server/ConfigurationReloader.java
+++ b/balancer/src/main/java/gorsestack/server/ConfigurationReloader.java
@@ -35,7 +35,7 @@
 
     /** Registers a handler for SIGHUP, whose default action ends the JVM. A signal during the start is handled after it. */
     void handleSignal(SignalHandlers signals) {
-        sighupHandled = signals.handle("HUP", this::reloadWhenStarted);
+        sighupHandled = signals.register("HUP", this::reloadWhenStarted);
     }
 
     /** Reads the configuration for the start. */
--- a/balancer/src/main/java/gorsestack/server/GracefulShutdown.java
+++ b/balancer/src/main/java/gorsestack/server/GracefulShutdown.java
@@ -44,8 +44,8 @@
                 shutDown();
             }
         };
-        signals.handle("TERM", handler);
-        signals.handle("INT", handler);
+        signals.register("TERM", handler);
+        signals.register("INT", handler);
     }
 
     /**
--- a/balancer/src/main/java/gorsestack/server/SignalHandlers.java
+++ b/balancer/src/main/java/gorsestack/server/SignalHandlers.java
@@ -6,9 +6,11 @@
 /**
  * Registers handlers for the signals that operators send, and records which signals are ignored. A signal that the parent process
  * ignores, as under nohup or some supervisors, stays ignored in the JVM without any message. Such signals are therefore logged at the
- * start and listed in the status.
+ * start and listed in the status document. {@link BalancerServer} creates it; {@link GracefulShutdown} and {@link ConfigurationReloader}
+ * register their handlers.
  *
- * <p>Threads: used on the main thread during the start; the JVM runs each handler on a thread of its own for the signal.
+ * <p>Threads: handlers are registered on the main thread during the start; after that, the ignored signals are read on the event loop's
+ * thread. The JVM runs a handler on a new thread for each signal.
  */
 final class SignalHandlers {
     private static final System.Logger LOG = System.getLogger("gorsestack.service");
@@ -21,7 +23,7 @@
      * @param name the signal's name without the prefix SIG
      * @return whether the signal is delivered, that is, not ignored
      */
-    boolean handle(String name, Runnable handler) {
+    boolean register(String name, Runnable handler) {
         sun.misc.SignalHandler previous = sun.misc.Signal.handle(new sun.misc.Signal(name), signal -> handler.run());
         boolean delivered = previous != sun.misc.SignalHandler.SIG_IGN;
         if (!delivered) {
