--- a/balancer/src/main/java/gorsestack/ServeCommand.java
+++ b/balancer/src/main/java/gorsestack/ServeCommand.java
@@ -36,7 +36,7 @@
      * Starts a balancer and then blocks. Returns only if the start fails or {@code --check} is given.
      *
      * @param file the balancer's configuration
-     * @return the exit code
+     * @return the exit code: 0 after a successful check, 2 if the start fails
      */
     int run(Path file) throws InterruptedException {
         System.setProperty("java.util.logging.SimpleFormatter.format", LOG_FORMAT);
--- a/balancer/src/main/java/gorsestack/server/BalancerServer.java
+++ b/balancer/src/main/java/gorsestack/server/BalancerServer.java
@@ -26,8 +26,8 @@
 import java.util.concurrent.FutureTask;
 
 /**
- * Assembles one balancer process on sockets and brings it into service, for the command line. {@link ConfigurationReloader} handles
- * SIGHUP, {@link GracefulShutdown} handles SIGTERM.
+ * Assembles one balancer process on sockets and brings it into service, for the command line. {@link ConfigurationReloader} handles SIGHUP,
+ * {@link GracefulShutdown} handles SIGTERM and SIGINT.
  *
  * <p>Threads: constructed and started on the main thread. The dispatcher, the maintenance orders and the peer exchange belong to the
  * event loop's thread; the other fields are written before any task that reads them is passed to the event loop.
@@ -80,7 +80,7 @@
         new BalancerServer(file).start();
     }
 
-    /** Runs the stages of the start in order and logs each of them, so that the log of a failed start shows how far it came. */
+    /** Runs the steps of the start in order and logs its main stages, so that the log of a failed start shows how far it came. */
     private void start() throws IOException {
         RestorePolicy.Restored restored = configuration.state() == null ? null : restoreState();
         calls = createDispatcher(restored);
@@ -334,7 +334,10 @@
         network.setMaxConnections(configuration.limits().client().maxAccepted() / (otherRunning ? 2 : 1));
     }
 
-    /** Applies orders and state changes from operators or from another process of this balancer; on the event loop's thread. */
+    /**
+     * Applies maintenance orders, and the state of other processes of this balancer, and provides the state of this process; on the event
+     * loop's thread.
+     */
     private final class HandoverListener implements Handover.Listener {
         @Override
         public void onMaintenanceOrder(String upstream, long endedAt) {
--- a/balancer/src/main/java/gorsestack/server/Configuration.java
+++ b/balancer/src/main/java/gorsestack/server/Configuration.java
@@ -27,9 +27,10 @@
  * @param listen the address that clients connect to
  * @param mgmt the address of the admin listener; null if there is none
  * @param discovery the address of service discovery
- * @param seed the seed of the policy's random numbers
+ * @param seed the seed of the random numbers; taken from the clock if the file has none
  * @param limits sizes, counts and times
- * @param known the endpoint list in the file, which is used until the first update from discovery is received
+ * @param known the endpoint list in the file, which is used until the first update from discovery is received, unless a persisted
+ *     list is restored
  * @param peers the addresses of all balancers, ordered by instance index; empty if balancers exchange no messages
  * @param settings the policy's settings
  * @param state the folder where state is persisted for the next process; null if state is not persisted
--- a/balancer/src/main/java/gorsestack/server/ConfigurationReloader.java
+++ b/balancer/src/main/java/gorsestack/server/ConfigurationReloader.java
@@ -33,7 +33,7 @@
         this.gate = gate;
     }
 
-    /** Registers a handler for SIGHUP, whose default action ends the JVM. A signal during the start is handled after it. */
+    /** Registers a handler for SIGHUP, whose default action ends the JVM. A signal during the start is handled once the gate is open. */
     void handleSignal(SignalHandlers signals) {
         sighupHandled = signals.register("HUP", this::reloadWhenStarted);
     }
--- a/balancer/src/main/java/gorsestack/server/GracefulShutdown.java
+++ b/balancer/src/main/java/gorsestack/server/GracefulShutdown.java
@@ -10,8 +10,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Shuts the balancer down at SIGTERM or SIGINT. As another balancer may not be ready yet, new connections are accepted for a while,
- * and connected clients are served for as long as their calls can still be completed. The process exits after the last call.
+ * Shuts the balancer down at SIGTERM or SIGINT. Unless a successor accepts new connections, they are accepted for a while, as another
+ * balancer may not be ready yet. Connected clients are served for as long as their calls can still be completed. The process exits after
+ * the last call.
  *
  * <p>Threads: {@link BalancerServer} sets it up on the main thread. The shutdown runs on the signal's thread and calls the dispatcher on
  * the event loop's thread only.
@@ -36,7 +37,7 @@
 
     /**
      * Registers handlers for SIGTERM and SIGINT. Without them, a signal that arrives during the start would end the JVM by its default
-     * action, which closes the log first. Such a signal is handled after the start. A second signal has no effect.
+     * action, which closes the log first. Such a signal is handled once the gate is open. A second signal has no effect.
      */
     void handleSignals(SignalHandlers signals) {
         Runnable handler = () -> {
--- a/balancer/src/main/java/gorsestack/server/StartGate.java
+++ b/balancer/src/main/java/gorsestack/server/StartGate.java
@@ -2,7 +2,10 @@
 
 import java.util.concurrent.CountDownLatch;
 
-/** Blocks the handling of signals that arrive during the start until the balancer is assembled. Thread-safe. */
+/**
+ * Blocks the handling of signals, and of changes of the configuration file, that occur during the start until the balancer is assembled.
+ * Thread-safe.
+ */
 final class StartGate {
     private final CountDownLatch openSignal = new CountDownLatch(1);
 
--- a/balancer/src/main/java/gorsestack/server/package-info.java
+++ b/balancer/src/main/java/gorsestack/server/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Assembles one balancer process: configuration, start, JVM warm-up, reload at SIGHUP and graceful shutdown at SIGTERM. Only the command
- * line depends on this package.
+ * Assembles one balancer process: configuration, start, JVM warm-up, reload at SIGHUP and graceful shutdown at SIGTERM or SIGINT. Only the
+ * command line depends on this package.
  */
 package gorsestack.server;
--- a/balancer/src/main/java/gorsestack/simulator/SimulatorHost.java
+++ b/balancer/src/main/java/gorsestack/simulator/SimulatorHost.java
@@ -51,7 +51,7 @@
     /**
      * Replies to batches until the input ends or is invalid.
      *
-     * @return the exit code
+     * @return the exit code: 0 at the end of the input, 2 if the input is invalid
      */
     public int run() throws IOException {
         ByteArrayOutputStream reply = new ByteArrayOutputStream(BUFFER_CHARS);
