--- a/balancer/src/main/java/gorsestack/proxy/ActiveCall.java
+++ b/balancer/src/main/java/gorsestack/proxy/ActiveCall.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * One API call, from its request until its response has been sent and its last attempt has finished. {@link CallTable} holds the calls of
- * the dispatcher. Owned by the event loop's thread; the sockets' thread reads {@link #hasEnded()} through {@link SendGate}.
+ * One API call, from its request until it has its response or its client has disconnected, and its last attempt has finished.
+ * {@link CallTable} holds the calls of the dispatcher. Owned by the event loop's thread; the sockets' thread reads {@link #hasEnded()}
+ * through {@link SendGate}.
  */
 final class ActiveCall {
     final String id;
@@ -28,12 +29,12 @@
         this.request = request;
     }
 
-    /** Sets the action that cancels the timer which responds if nothing else has by the call's deadline. */
+    /** Sets the action that cancels the timer which responds shortly before the call's deadline if nothing else has. */
     void deadlineBackstop(Runnable cancel) {
         cancelDeadlineBackstop = cancel;
     }
 
-    /** Ends the call, as it has its final response, and cancels the timer of its deadline. */
+    /** Ends the call, as it has its final response or its client has disconnected, and cancels the timer of its deadline. */
     void end(EventLoop clock) {
         // The time is read after the flag is set, so that every request written later was checked against the flag.
         ended = true;
--- a/balancer/src/main/java/gorsestack/proxy/AttemptRunner.java
+++ b/balancer/src/main/java/gorsestack/proxy/AttemptRunner.java
@@ -134,7 +134,7 @@
     /** Cancels the attempt with this number. */
     void cancel(ActiveCall call, int number) {
         UpstreamAttempt attempt = call.attempts.get(number);
-        // Rule 1: the connection is closed at once, as one that is established in between would still send its request.
+        // Rule 1: the connection is given up at once; established in between, it would still send its request.
         // The policy is notified once it has finished the current input.
         attempt.closeConnection();
         eventLoop.execute(() ->
--- a/balancer/src/main/java/gorsestack/proxy/CallDeadlines.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallDeadlines.java
@@ -7,8 +7,9 @@
 import gorsestack.wire.EventLoop;
 
 /**
- * Ends each call at its deadline at the latest. A call that was accepted gets a response in time even if a fault keeps the policy from
- * responding (rule 1). Used by {@link CallDispatcher}. Owned by the event loop's thread.
+ * Ends each call at its deadline at the latest; while a large request body is incomplete, its call has none. A call that was accepted gets
+ * a response in time even if a fault keeps the policy from responding (rule 1). Used by {@link CallDispatcher}. Owned by the event loop's
+ * thread.
  */
 final class CallDeadlines {
     /** The divisor of the client's timeout that gives the largest margin for writing a response. */
@@ -52,7 +53,7 @@
         return Math.max(0, deadline - responseMargin - clock.tick());
     }
 
-    /** Limits the deadlines of the calls that are accepted from now on to {@code newLatestResponseAt}. */
+    /** Limits the deadlines that are set from now on to {@code newLatestResponseAt}. */
     void limit(long newLatestResponseAt) {
         latestResponseAt = newLatestResponseAt;
     }
--- a/balancer/src/main/java/gorsestack/proxy/CallDispatcher.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallDispatcher.java
@@ -28,9 +28,9 @@
 import java.util.Random;
 
 /**
- * Connects clients' calls, discovery and operators with the balancing policy: passes every input to the policy and carries out its
- * actions. Makes no balancing decisions. Used by the server. Owned by the event loop's thread, which calls every method of this class and
- * of its collaborators; the sockets' thread reads nothing but {@link SendGate}.
+ * Connects clients' calls, discovery and operators with the balancing policy: passes every input to the policy and carries out its actions.
+ * Makes no balancing decisions. Used by the server. Owned by the event loop's thread: other threads only call {@link #clients} and
+ * {@link #recovery}, and the sockets' thread reads nothing but {@link SendGate}.
  */
 public final class CallDispatcher
         implements PolicyActions, ClientRequestHandler, DiscoveryWatch.Listener, AdminServer.Balancer {
@@ -62,7 +62,7 @@
     private boolean ready;
     private boolean shuttingDown;
 
-    /** Follows {@code discovery} from list version {@code index} on; accepts no calls yet. Called on the event loop's thread. */
+    /** Follows {@code discovery} from list version {@code index} on. Not ready before {@link #acceptCalls}. Called on the event loop. */
     public CallDispatcher(
             EventLoop eventLoop,
             Limits limits,
@@ -302,8 +302,9 @@
     }
 
     /**
-     * Begins the shutdown after SIGTERM. Connections are served until their clients disconnect, calls until {@code callDeadline}. If
-     * another process of this balancer already accepts clients, each connection is closed with its next response.
+     * Begins the shutdown after SIGTERM or SIGINT. Calls are served until {@code callDeadline}; connections stay open until they are closed
+     * through {@link #clients}. If another process of this balancer already accepts clients, connections are closed when idle or with their
+     * next response.
      */
     public void shutDown(long callDeadline, boolean hasSuccessor) {
         shuttingDown = true;
@@ -359,7 +360,7 @@
         trace.enable(enabled);
     }
 
-    /** Sets the names of the signals that this process inherited as ignored; called before the status is read. */
+    /** Sets the names of the signals that this process inherited as ignored; the status lists none before that. */
     public void ignoredSignals(List<String> names) {
         status.ignoredSignals(names);
     }
@@ -369,17 +370,17 @@
         return status.document(ready());
     }
 
-    /** Returns the policy's learned state for a process that takes over. */
+    /** Returns the policy's learned state for a later process of this balancer and for its peers. */
     public List<LearnedLocality> exportLearned() {
         return policy.exportLearned();
     }
 
-    /** Restores the learned state of the process that this one takes over from. */
+    /** Replaces the policy's learned state, as a rule by that of an earlier process or of peers. */
     public void restoreLearned(List<LearnedLocality> learned) {
         policy.restoreLearned(clock.tick(), learned);
     }
 
-    /** Runs the periodic maintenance. The next run is scheduled first, as a fault in one run would otherwise prevent all later ones. */
+    /** Runs the periodic tasks. The next run is scheduled first, as a fault in one run would otherwise prevent all later ones. */
     private void sweep() {
         eventLoop.at(eventLoop.now() + limits.call().sweepIntervalNanos(), this::sweep);
         pool.closeExpired();
--- a/balancer/src/main/java/gorsestack/proxy/CallResponder.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallResponder.java
@@ -45,13 +45,13 @@
         respond(call, Response.own(429, header, "no room; trying again is harmless"));
     }
 
-    /** Fails the call without any promise about a retry. */
+    /** Fails the call without any promise about a retry: with 504 if an attempt has run out of time, or else with 502. */
     void errored(ActiveCall call) {
         boolean timedOut = call.attempts.stream().anyMatch(attempt -> clock.inputTime() >= attempt.deadline());
         respond(call, timedOut ? timeout() : Response.own(502, "", "no upstream answered"));
     }
 
-    /** Fails the call because its deadline has passed. */
+    /** Fails the call with 504, as no time remains for another response. */
     void timedOut(ActiveCall call) {
         respond(call, timeout());
     }
--- a/balancer/src/main/java/gorsestack/proxy/ClientConnectionManager.java
+++ b/balancer/src/main/java/gorsestack/proxy/ClientConnectionManager.java
@@ -10,9 +10,10 @@
 import java.util.function.Predicate;
 
 /**
- * Holds the connections that clients opened: limits their number, chooses which are closed when it is exceeded, and closes all of them
- * at shutdown. Used by {@link CallDispatcher} and the server. Owned by the event loop's thread. A connection is closed in a task that is
- * queued after the input read so far, so that none is closed while a call of its client is queued.
+ * Holds the connections that clients opened: limits their number, chooses which are closed when it is exceeded, and closes all of them at
+ * shutdown. Used by {@link CallDispatcher} and the server. Owned by the event loop's thread. Idle connections are closed in tasks queued
+ * after the input read so far, so that none is closed while a call of its client is queued. A timer or a lower limit may close them sooner;
+ * in each case the socket keeps a connection on which input has arrived that was not handled yet.
  */
 public final class ClientConnectionManager {
     /** The number of priorities at which connections are closed, lowest first; see {@link ClientConnection#closePriority()}. */
@@ -161,7 +162,7 @@
         }
     }
 
-    /** Runs the periodic maintenance: closes overdue connections, and idle ones beyond half of the limit. */
+    /** Closes overdue connections, long idle ones beyond half of the limit and, at shutdown, all idle ones; called periodically. */
     void sweep() {
         eventLoop.execute(() -> {
             List.copyOf(open).forEach(ClientConnection::giveUpIfOverdue);
--- a/balancer/src/main/java/gorsestack/proxy/EndpointCache.java
+++ b/balancer/src/main/java/gorsestack/proxy/EndpointCache.java
@@ -64,7 +64,7 @@
                         index, WatchEvent.text(discovery), confirmedAt, List.copyOf(members.values()));
     }
 
-    /** Returns the watch event by which the policy receives a persisted list. */
+    /** Returns the watch event by which the policy receives a persisted list, without ready upstreams that have no address. */
     static WatchEvent watchEvent(PersistentState.EndpointSnapshot persisted) {
         List<Endpoint> endpoints = new ArrayList<>();
         Map<String, InetSocketAddress> addresses = new HashMap<>();
--- a/balancer/src/main/java/gorsestack/proxy/MaintenanceControl.java
+++ b/balancer/src/main/java/gorsestack/proxy/MaintenanceControl.java
@@ -9,7 +9,7 @@
  * of this balancer runs, and moves its clients there after a takeover. Used by {@link CallDispatcher}. Owned by the event loop's thread.
  */
 final class MaintenanceControl {
-    /** The quota of a process while it and another process of this balancer accept clients. */
+    /** The quota of a process while another process of this balancer accepts clients. */
     private static final double SHARED_QUOTA = 0.5;
     /** The quota of a process that has been replaced, for the clients that are still connected to it. */
     private static final double REPLACED_QUOTA = 0.25;
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Adjusts the quota of this process. While another process of this balancer runs, each gets half of the connections; while both accept
-     * clients, each also gets half of the concurrency limits and retry budgets.
+     * Adjusts the quota of this process. While another process of this balancer runs, this one gets half of the connections; while the
+     * other accepts clients, this one also gets half of the concurrency limits and retry budgets, unless its shutdown has begun.
      */
     void shareWithAnotherProcess(boolean running, boolean acceptsClients, boolean shuttingDown) {
         if (!shuttingDown) {
--- a/balancer/src/main/java/gorsestack/proxy/PeerChannel.java
+++ b/balancer/src/main/java/gorsestack/proxy/PeerChannel.java
@@ -10,7 +10,7 @@
     /** Handles a message from a peer and returns the load gossip in it, or null if it has none. */
     byte[] onMessage(int peer, byte[] message);
 
-    /** Returns the fraction of the known peers that restarted recently; NaN if it is unknown. */
+    /** Returns the fraction of the recently seen peers that had started recently; NaN if too few were seen. */
     default double recentlyStartedFraction() {
         return Double.NaN;
     }
--- a/balancer/src/main/java/gorsestack/proxy/RecoveryCoordinator.java
+++ b/balancer/src/main/java/gorsestack/proxy/RecoveryCoordinator.java
@@ -18,9 +18,10 @@
 import java.util.function.Consumer;
 
 /**
- * Coordinates the recovery of this balancer after a restart: restores the endpoint list and learned state that an earlier process
- * persisted, throttles when many balancers restart at once, tracks the progress, and reports these in the status document. Each part is
- * active only if it is configured. Used by {@link CallDispatcher} and the server. Owned by the event loop's thread.
+ * Coordinates the recovery of this balancer after a restart: restores the endpoint list that an earlier process persisted, reduces restored
+ * concurrency limits if the fleet of upstreams has shrunk since, throttles when many balancers restart at once, tracks the progress, and
+ * reports these in the status document. Each part is active only if it is configured. Used by {@link CallDispatcher} and the server. Owned
+ * by the event loop's thread; {@link #cacheList} is called on the main thread during the start.
  */
 public final class RecoveryCoordinator {
     private static final System.Logger LOG = CallTrace.LOG;
@@ -133,14 +134,16 @@
         return discovery.index();
     }
 
-    /** Returns the current list with the time of its last confirmation, or null if it was never confirmed. */
+    /** Returns the list that {@link #cacheList} caches, with the time of its last confirmation; null if it was never confirmed. */
     public PersistentState.EndpointSnapshot endpointSnapshot() {
         return endpointCache.snapshot(discovery.address(), discovery.confirmedAt());
     }
 
     /**
-     * Restores the list and the learned state that an earlier process persisted. Discovery is polled at {@code pollAt}; until then the
-     * policy's own polling, which would come sooner, is suppressed.
+     * Restores the list that an earlier process persisted. Discovery is polled at {@code pollAt}; until then the policy's own polling,
+     * which would come sooner, is suppressed.
+     *
+     * @param learned the learned state of the earlier process, whose numbers of upstreams are compared with the first list of discovery
      */
     public void restore(PersistentState.EndpointSnapshot endpoints, long pollAt, List<LearnedLocality> learned) {
         watchEventHandler.accept(EndpointCache.watchEvent(endpoints));
--- a/balancer/src/main/java/gorsestack/proxy/StartTimes.java
+++ b/balancer/src/main/java/gorsestack/proxy/StartTimes.java
@@ -13,7 +13,7 @@
  * again, the result is the same even if a clock was set meanwhile. Used by {@link CallDispatcher}. Owned by the event loop's thread.
  */
 final class StartTimes {
-    /** How long the start of an upstream that left the list is kept, as the upstream may return without a restart. */
+    /** How long a start is kept after it was last reported, as an upstream that left the list may return without a restart. */
     private static final long RETENTION_NANOS = 600_000_000_000L;
 
     private record KnownStart(long reportedAt, long startedAt, long lastSeen) {}
@@ -58,7 +58,7 @@
     /**
      * Returns the lesser of the plausible ages by the two clocks, as treating a warm upstream as one in slow start costs less than the
      * reverse. An upstream that starts while the list is watched cannot be older than {@code maxAge}; the limit prevents it from counting
-     * as warm because a clock was set.
+     * as warm because a clock was set. An implausible age counts as 0.
      */
     private static long age(long reportedAt, long now, long wallClock, long maxAge) {
         long byMonotonic = now - reportedAt;
--- a/balancer/src/main/java/gorsestack/proxy/UpstreamAttempt.java
+++ b/balancer/src/main/java/gorsestack/proxy/UpstreamAttempt.java
@@ -80,7 +80,10 @@
         }
     }
 
-    /** Closes the connection of an attempt that is abandoned, so that late bytes reach no later call. */
+    /**
+     * Gives up the connection of an attempt that is abandoned, so that late bytes reach no later call. A connection that is still being
+     * established may be kept for another attempt.
+     */
     void closeConnection() {
         if (!isFinished() && connection != null) {
             connection.giveUp();
--- a/balancer/src/test/java/gorsestack/proxy/EndpointCacheTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/EndpointCacheTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Tests that the cached list is complete and is restored unchanged. */
+/** Tests that the cached list is complete, and that it is restored without ready upstreams that have no address. */
 class EndpointCacheTest {
     private static final InetSocketAddress DISCOVERY = WatchEvent.address("127.0.0.1:8500");
     private static final InetSocketAddress ADDRESS = WatchEvent.address("127.0.1.1:80");
