--- a/balancer/src/main/java/gorsestack/proxy/CallTable.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallTable.java
@@ -14,7 +14,7 @@
     private final Map<String, ActiveCall> byId = new HashMap<>();
     private final Map<ClientConnection, ActiveCall> awaitingResponse = new HashMap<>();
 
-    /** Returns whether a call with this request id awaits its response. */
+    /** Returns whether the call with this id awaits its response; does not find a call whose id has a suffix by its request id. */
     boolean isOpen(String requestId) {
         ActiveCall call = byId.get(requestId);
         return call != null && !call.hasEnded();
--- a/balancer/src/test/java/gorsestack/proxy/HandlerSpy.java
+++ b/balancer/src/test/java/gorsestack/proxy/HandlerSpy.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Passes the events of a connection to its handler, counts them, and withholds them if the test requests it. */
+/** Passes the events of a connection to its handler, counts them, and withholds its opening and its input if the test requests it. */
 final class HandlerSpy implements ConnectionHandler {
     /** The address to which the connection was opened; null for an accepted connection. */
     final InetSocketAddress remoteAddress;
@@ -16,7 +16,7 @@
     int sentCount;
     int closedCount;
     private final ConnectionHandler handler;
-    /** The events that the event loop has delivered and the handler has not received; null while events are not withheld. */
+    /** The opening and the input that the event loop has delivered and the handler has not received; null while none are withheld. */
     private List<Runnable> withheld;
 
     HandlerSpy(ConnectionHandler handler, InetSocketAddress remoteAddress) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Withholds events until {@link #release()}, so that those of two connections can be handled in either order. */
+    /** Withholds the opening and input until {@link #release()}, so that those of two connections can be handled in either order. */
     void withhold() {
         withheld = new ArrayList<>();
     }
--- a/balancer/src/test/java/gorsestack/proxy/LargeBodyTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/LargeBodyTest.java
@@ -38,7 +38,7 @@
         assertTrue(readAheadBytes <= limit, readAheadBytes + " of " + limit);
     }
 
-    /** Covers a body larger than the heap, an upstream slower than the client, and a retry whose body is no longer buffered. */
+    /** Covers a body larger than its buffer, an upstream slower than the client, and a retry whose body is no longer buffered. */
     @Test
     void streamsALargeRequestBody() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(2);
@@ -106,7 +106,7 @@
         assertFalse(partial.open(), "no incomplete request stays open at the upstream");
     }
 
-    /** Covers a response larger than the heap, a client slower than the upstream, and a truncated response that must not look complete. */
+    /** Covers a response larger than its buffer, a slower client, and a truncated response that must not look complete. */
     @Test
     void streamsALargeResponse() throws IOException {
         DispatcherRig rig = DispatcherRig.withUpstreams(1);
--- a/balancer/src/test/java/gorsestack/proxy/SocketRig.java
+++ b/balancer/src/test/java/gorsestack/proxy/SocketRig.java
@@ -68,7 +68,7 @@
 
     final List<ScriptedPeer> upstreams = new ArrayList<>();
     final ScriptedPeer discovery;
-    /** Whether events of connections that the balancer opens from now on are withheld until the test releases them. */
+    /** Whether the opening and input of connections that the balancer opens from now on are withheld until the test releases them. */
     boolean withholdsConnects;
 
     /** The tasks that the I/O thread and the event loop have submitted, in order. */
