--- a/balancer/src/main/java/gorsestack/proxy/SendGate.java
+++ b/balancer/src/main/java/gorsestack/proxy/SendGate.java
@@ -4,8 +4,8 @@
 
 /**
  * Decides whether an attempt's request may still be written. Base class of {@link UpstreamAttempt}. The sockets' thread reads nothing else
- * of a call: every field of this class, and every field of the call that it reads, is final or volatile. Only the event loop's thread
- * writes them.
+ * of a call: every field of this class, and every field of the call that it reads, is final or volatile, and the channel of the client's
+ * connection is set before its first call. Only the event loop's thread writes them.
  */
 abstract class SendGate {
     /** The state of an attempt; a transition is only possible to a later constant. */
