--- a/balancer/src/main/java/gorsestack/server/ConfigurationReloader.java
+++ b/balancer/src/main/java/gorsestack/server/ConfigurationReloader.java
@@ -33,9 +33,9 @@
         this.gate = gate;
     }
 
-    /** Registers a handler for SIGHUP, whose default action ends the JVM. A signal during the start is handled after it. */
+    /** Registers a handler for SIGHUP, whose default action ends the JVM. A signal during the start is handled once the gate is open. */
     void handleSignal(SignalHandlers signals) {
-        sighupHandled = signals.handle("HUP", this::reloadWhenStarted);
+        sighupHandled = signals.register("HUP", this::reloadWhenStarted);
     }
 
     /** Reads the configuration for the start. */
