--- a/balancer/src/main/java/gorsestack/recovery/RecoveryProgress.java
+++ b/balancer/src/main/java/gorsestack/recovery/RecoveryProgress.java
@@ -3,9 +3,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * Tracks the phases of recovery after a start, for the log and the status report; no other part waits for a phase. A phase ends when its
- * condition holds, or at its deadline, so that no phase waits forever for discovery or for calls. Used by the recovery coordinator on the
- * event loop's thread. Callers pass the current time; this class performs no I/O.
+ * Tracks the phases of recovery after a start, for the log, the status document and health checks; nothing waits for a phase. A phase ends
+ * when its condition holds. COLD and WARMING also end at a deadline, so that neither waits forever for discovery or for calls. Used by the
+ * recovery coordinator on the event loop's thread. Callers pass the current time; this class performs no I/O.
  */
 public final class RecoveryProgress {
     /** Length in nanoseconds of the windows in which calls are counted. */
@@ -81,7 +81,7 @@
         check(now);
     }
 
-    /** Counts a call that has got its response. */
+    /** Counts a call that has got its response, if the phase is WARMING. */
     public void onResponse(long now, boolean successful) {
         if (phase != RecoveryPhase.WARMING) {
             return;
