--- a/balancer/src/test/java/gorsestack/wire/UpstreamConnectionStatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/UpstreamConnectionStatesTest.java
@@ -12,9 +12,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Runs every sequence of a few events on the connection of an attempt and compares the outcome with a simple model. Guards against attempts
- * that end twice, that are sent although their call has ended, or that count as not executed although the request was written: such a call
- * would run twice. An injected fault shows that the check can fail.
+ * Runs every sequence of five of the events on a connection that carries one attempt, and compares the outcome with a simple model. Guards
+ * against attempts that end twice, that are sent although their call has ended, or that count as not executed although the request was
+ * written: such a call would run twice. An injected fault lets a request be sent although its call has ended. With it, the check that a
+ * request is not sent on connect is off; a separate predicate, {@code injectedFaultDetected}, reports a request that was sent although the
+ * sequence began with the end of its call.
  */
 class UpstreamConnectionStatesTest {
     private static final Limits LIMITS = TestLimits.forMembershipMode("subscribe");
@@ -27,14 +29,14 @@
         RESPONSE_WITHOUT_LENGTH,
         ORDERLY_END,
         RESET,
-        TOO_SLOW,
+        CONNECT_TIMES_OUT,
         CANCEL,
         UPSTREAM_DRAINS,
         CALL_ENDS
     }
 
-    /** The pool and the attempt that a connection reports to; records the outcomes of the attempt. */
-    private static final class RecordingPool implements UpstreamConnectionOwner, AttemptListener {
+    /** Stands for the pool that owns the connection and for the attempt's listener; records the outcomes of the attempt. */
+    private static final class AttemptRecorder implements UpstreamConnectionOwner, AttemptListener {
         final List<Outcome> outcomes = new ArrayList<>();
         boolean upstreamAcceptsNew = true;
         boolean callOpen = true;
@@ -95,14 +97,14 @@
 
         private final ManualEventLoop eventLoop = new ManualEventLoop(1_000_000);
         private final RecordingNetwork network = new RecordingNetwork(eventLoop);
-        private final RecordingPool pool = new RecordingPool();
+        private final AttemptRecorder recorder = new AttemptRecorder();
         private final UpstreamConnection connection =
-                new UpstreamConnection(LIMITS, eventLoop, pool, "u", new InetSocketAddress(1));
+                new UpstreamConnection(LIMITS, eventLoop, recorder, "u", new InetSocketAddress(1));
         private RecordingChannel channel;
         private boolean responseWithoutLength;
         private boolean responseComplete;
         private boolean requestWritten;
-        private boolean unwanted;
+        private boolean mustNotBeSentAnyMore;
 
         SequenceRun(boolean ignoresCallEnd) {
             this.ignoresCallEnd = ignoresCallEnd;
@@ -111,11 +113,11 @@
         /** Returns what is wrong after the sequence, or null if nothing is. */
         String run(List<Event> sequence) {
             connection.connect(network);
-            connection.send(null, pool);
+            connection.send(null, recorder);
             channel = network.last();
             for (Event event : sequence) {
                 if (event == Event.CONNECTED && !channel.connected) {
-                    if (sendsUnwantedOnConnect()) {
+                    if (connectsAndSendsAlthoughUnwanted()) {
                         return SENT_ALTHOUGH_UNWANTED;
                     }
                 } else {
@@ -127,9 +129,10 @@
             return failure == null && injectedFaultDetected(sequence) ? SENT_ALTHOUGH_UNWANTED : failure;
         }
 
-        private boolean sendsUnwantedOnConnect() {
+        /** Establishes the connection; returns whether the request was sent although it must not be. */
+        private boolean connectsAndSendsAlthoughUnwanted() {
             channel.connected = true;
-            boolean mustNotSend = unwanted && !ignoresCallEnd;
+            boolean mustNotSend = mustNotBeSentAnyMore && !ignoresCallEnd;
             eventLoop.execute(() -> connection.opened(channel));
             eventLoop.runPending();
             requestWritten |= hasOutput();
@@ -156,16 +159,16 @@
                         channel.disconnect();
                     }
                 }
-                case TOO_SLOW -> connection.connectTimedOut();
+                case CONNECT_TIMES_OUT -> connection.connectTimedOut();
                 case CANCEL -> cancel();
                 case UPSTREAM_DRAINS -> {
-                    pool.upstreamAcceptsNew = false;
-                    unwanted = true;
+                    recorder.upstreamAcceptsNew = false;
+                    mustNotBeSentAnyMore = true;
                     connection.withdraw();
                 }
                 case CALL_ENDS -> {
-                    pool.callOpen = ignoresCallEnd;
-                    unwanted = true;
+                    recorder.callOpen = ignoresCallEnd;
+                    mustNotBeSentAnyMore = true;
                 }
             }
         }
@@ -193,29 +196,29 @@
         }
 
         private void cancel() {
-            if (pool.outcomes.isEmpty()) {
+            if (recorder.outcomes.isEmpty()) {
                 connection.giveUp();
-                pool.outcomes.add(Outcome.CANCELLED);
-                unwanted = true;
+                recorder.outcomes.add(Outcome.CANCELLED);
+                mustNotBeSentAnyMore = true;
             }
         }
 
         private String failure() {
-            if (pool.outcomes.size() > 1) {
-                return "the attempt ended more than once: " + pool.outcomes;
+            if (recorder.outcomes.size() > 1) {
+                return "the attempt ended more than once: " + recorder.outcomes;
             }
-            Outcome outcome = pool.outcomes.isEmpty() ? null : pool.outcomes.get(0);
+            Outcome outcome = recorder.outcomes.isEmpty() ? null : recorder.outcomes.get(0);
             if (outcome == Outcome.FULFILLED && !responseComplete) {
                 return "fulfilled by an incomplete response";
             }
             boolean claimsNotExecuted = outcome != null && outcome != Outcome.CANCELLED && outcome.provesNotExecuted;
             return claimsNotExecuted && requestWritten && hasOutput()
-                    ? outcome + " although the request was written"
+                    ? outcome + " claims that nothing was executed, although the request was written"
                     : null;
         }
 
         private boolean injectedFaultDetected(List<Event> sequence) {
-            return ignoresCallEnd && unwanted && hasOutput() && sequence.get(0) == Event.CALL_ENDS;
+            return ignoresCallEnd && mustNotBeSentAnyMore && hasOutput() && sequence.get(0) == Event.CALL_ENDS;
         }
     }
 
