--- a/balancer/src/main/java/gorsestack/admin/AdminServer.java
+++ b/balancer/src/main/java/gorsestack/admin/AdminServer.java
@@ -20,12 +20,13 @@
 
 /**
  * HTTP interface for operators, on a listener of its own: health checks, status, tracing, evacuation and maintenance of upstreams. Each
- * connection serves one request. No response depends on another system. Created by the server package; used on the event loop's thread.
+ * connection serves one request. No response depends on another system. Created and set up by the server package on the main thread, then
+ * used on the event loop's thread.
  */
 public final class AdminServer {
     /** Operations of the balancer that operators can use. Called on the event loop's thread. */
     public interface Balancer {
-        /** Returns whether the balancer accepts calls. */
+        /** Returns whether the balancer is ready for clients: it has started, does not shut down and is not evacuated. */
         boolean ready();
 
         /** Returns whether the endpoint list contains the upstream. */
@@ -68,10 +69,7 @@
     private final Balancer balancer;
     private Handover handover;
     private long incarnation;
-    /**
-     * Maintenance orders given to any process of this balancer, by upstream: NOT_ENDED, or the time at which the upstream was put back into
-     * service.
-     */
+    /** Maintenance orders that this process knows, by upstream: NOT_ENDED, or the time at which the upstream was put back into service. */
     private final Map<String, Long> maintenance = new HashMap<>();
 
     /** Open connections in the order in which they were opened. */
@@ -94,7 +92,7 @@
         return new Connection();
     }
 
-    /** Applies a maintenance order that was given to this process or to another process of this balancer. */
+    /** Applies a maintenance order that was given to this process, to another process of this balancer or to an earlier one. */
     public void applyOrder(String upstream, long endedAt) {
         if (!Long.valueOf(endedAt).equals(maintenance.put(upstream, endedAt))) {
             boolean inMaintenance = endedAt == Handover.NOT_ENDED;
@@ -228,8 +226,8 @@
     }
 
     /**
-     * Connection of an operator. It is closed after a timeout if its request is still incomplete, and earlier if it is the oldest of too
-     * many connections, so that unresponsive clients do not block others.
+     * Connection of an operator. It gets an error response and is closed if its request is still incomplete after a timeout, and is closed
+     * earlier if it is the oldest of too many connections, so that unresponsive clients do not block others.
      */
     private final class Connection implements ConnectionHandler {
         private final HttpParser parser = HttpParser.request(limits);
--- a/balancer/src/main/java/gorsestack/admin/Handover.java
+++ b/balancer/src/main/java/gorsestack/admin/Handover.java
@@ -21,15 +21,17 @@
 import java.util.function.Consumer;
 
 /**
- * Shares state between two processes of one balancer during an upgrade. Maintenance orders, learned state and the endpoint snapshot are in
- * a shared file; file locks show whether another process runs. Created by the server package. Files are accessed on a separate thread,
- * except by the constructor, {@link #startAccepting} and {@link #stopAccepting}, which must not be called on the event loop's thread.
+ * Shares state between two processes of one balancer during an upgrade, and stores it for the next process. Maintenance orders, learned
+ * state and the endpoint snapshot are in a shared file; file locks show whether another process runs. Created by the server package. Files
+ * are accessed on a separate thread, except by the constructor, {@link #startAccepting} and {@link #stopAccepting}. These three and {@link
+ * #successorAccepts} must not be called on the event loop's thread, as they block.
  */
 public final class Handover {
     /** Receives changes by other processes, and provides the state of this process. Called on the event loop's thread. */
     public interface Listener {
         /**
-         * Called when an operator has given a maintenance order to any process of this balancer.
+         * Called with each maintenance order that was given to another process of this balancer, loaded at the start or restored from a
+         * peer, if this process did not know it.
          *
          * @param endedAt time at which the upstream was put back into service, or NOT_ENDED while it is in maintenance
          */
@@ -122,7 +124,7 @@
     }
 
     /**
-     * Returns the store of a balancer's state.
+     * Creates a store of a balancer's state.
      *
      * @param durable whether the state must survive a crash of the host, not only of the process
      */
@@ -144,7 +146,10 @@
         }
     }
 
-    /** Starts to write the endpoint snapshot and learned state periodically, for a process that starts after this one has ended. */
+    /**
+     * Starts to write the endpoint snapshot and learned state periodically, for a process that starts after this one has ended. While a
+     * successor runs, no snapshot is written.
+     */
     public void startSnapshots(long incarnation) {
         thread.execute(() -> file.raiseIncarnation(incarnation));
         // The jitter prevents a fleet that is started at once on one disk from writing at the same moments.
@@ -179,7 +184,7 @@
         }
     }
 
-    /** Returns whether another process of this balancer was running when this one started. */
+    /** Returns whether another process of this balancer was running when this one started; to be called before {@link #start}. */
     public boolean hasPredecessor() {
         return otherProcessRuns;
     }
@@ -320,7 +325,7 @@
         });
     }
 
-    /** Raises the incarnation of this process above one that a peer has seen. */
+    /** Raises the incarnation of this process to the given one, which is above one that a peer has seen, and stores it. */
     public void raiseIncarnation(long incarnation) {
         thread.execute(() -> {
             file.raiseIncarnation(incarnation);
@@ -329,11 +334,11 @@
     }
 
     /**
-     * Records a maintenance order, then reports whether it is on the disk. Without this, an operator could get an acknowledgement of an
-     * order that is lost when this process crashes. A failed write is retried until the order is on the disk.
+     * Records a maintenance order, then reports whether all orders are on the disk. Without this, an operator could get an acknowledgement
+     * of an order that is lost when this process crashes. A failed write is retried until the order is on the disk.
      *
      * @param endedAt time at which the upstream was put back into service, or NOT_ENDED
-     * @param onSaved called on the event loop's thread with whether the order is on the disk
+     * @param onSaved called on the event loop's thread with whether all orders are on the disk
      */
     public void order(String upstream, long endedAt, Consumer<Boolean> onSaved) {
         long now = eventLoop.now();
--- a/balancer/src/main/java/gorsestack/admin/MaintenanceOrders.java
+++ b/balancer/src/main/java/gorsestack/admin/MaintenanceOrders.java
@@ -8,8 +8,8 @@
 
 /**
  * Maintenance orders of the operators that this process knows, and whether all of them are on the disk. Of two orders for one upstream the
- * later one applies, whichever process received it. Used by {@link Handover} and {@link SharedStateFile} on the handover's thread; calls
- * the listener on the event loop's thread.
+ * later one applies, whichever process received it. Used by {@link Handover} and {@link SharedStateFile} on the handover's thread and, at
+ * the first load, on the thread that creates the handover; calls the listener on the event loop's thread.
  */
 final class MaintenanceOrders {
     /**
--- a/balancer/src/main/java/gorsestack/admin/SharedStateFile.java
+++ b/balancer/src/main/java/gorsestack/admin/SharedStateFile.java
@@ -69,7 +69,7 @@
         endpointSnapshot = snapshot;
     }
 
-    /** Raises the incarnation, which never decreases. An endpoint snapshot of a lower incarnation is ignored. */
+    /** Raises the incarnation, which never decreases. Copies with a higher incarnation replace the endpoint snapshot. */
     void raiseIncarnation(long minIncarnation) {
         incarnation = Math.max(incarnation, minIncarnation);
     }
@@ -77,7 +77,7 @@
     /**
      * Merges the content of the file, applies a change and writes the result, all under the lock.
      *
-     * @return whether the result is on the disk
+     * @return whether the result is on the disk; if not, the change may not have been applied either
      */
     boolean update(Runnable change) {
         if (!presence.isOpen()) {
@@ -99,7 +99,7 @@
             orders.markSaved();
             return true;
         } catch (IOException e) {
-            // The store has logged the first of consecutive failures as a warning.
+            // If the write failed, the store has logged the first of consecutive failures as a warning.
             LOG.log(System.Logger.Level.DEBUG, "shared_state_write_failed error={0}", e.toString());
             return false;
         } catch (RuntimeException e) {
@@ -129,7 +129,10 @@
         merge(store.load());
     }
 
-    /** Merges the state of another copy: each part that is later replaces the one held here. */
+    /**
+     * Merges the state of another copy: each part that is later, and any endpoint snapshot if there is none here, replaces the one held
+     * here.
+     */
     void merge(PersistentState other) {
         orders.merge(other.maintenanceOrders());
         if (other.learnedAt() > learnedAt) {
--- a/balancer/src/main/java/gorsestack/recovery/ClockOrigin.java
+++ b/balancer/src/main/java/gorsestack/recovery/ClockOrigin.java
@@ -5,12 +5,12 @@
 import java.nio.file.Path;
 
 /**
- * Origin of a process's clock, by which another process converts the times that the first one has stored. Immutable; used by the handover
- * and by {@link SnapshotStore} on any thread.
+ * Origin of a process's clock, by which another process converts the times that the first one has stored. Immutable; used by the server,
+ * the handover and {@link SnapshotStore} on any thread.
  *
- * <p>A process reads the wall clock once, at its start, and derives all later times from the monotonic clock. If the wall clock was set
- * between the starts of two processes, their clocks differ. The difference follows from the operating system's monotonic clock, which all
- * processes share until the next boot.
+ * <p>A process's event loop reads the wall clock once, at the start, and derives its later times from the monotonic clock. If the wall
+ * clock was set between the starts of two processes, their clocks differ. The difference follows from the operating system's monotonic
+ * clock, which all processes share until the next boot.
  *
  * @param boot identifier of the operating system's boot; empty where it is not available
  * @param offset the process's time at the zero of the monotonic clock, in nanoseconds since 1970
--- a/balancer/src/main/java/gorsestack/recovery/OrderReplication.java
+++ b/balancer/src/main/java/gorsestack/recovery/OrderReplication.java
@@ -10,8 +10,9 @@
 import java.util.TreeSet;
 
 /**
- * Replicates maintenance orders, so that a balancer that loses its disk can restore them: three peers store each balancer's orders. Used by
- * {@link PeerRecovery} on its thread. Callers pass the current time; this class performs no I/O and starts no timers.
+ * Replicates maintenance orders, so that a balancer that loses its disk can restore them: three peers, or all if there are fewer, store
+ * each balancer's orders. Used by {@link PeerRecovery} on its thread. Callers pass the current time; this class performs no I/O and starts
+ * no timers.
  */
 final class OrderReplication {
     /** Number of peers that store the orders of one balancer. */
@@ -43,7 +44,10 @@
         this.balancerCount = balancerCount;
     }
 
-    /** Returns the peers that store a balancer's orders: three with distant indexes, so that they are rarely all in one zone. */
+    /**
+     * Returns the peers that store a balancer's orders: three with distant indexes, so that they are rarely all in one zone; all peers if
+     * there are fewer.
+     */
     static List<Integer> replicasOf(int balancer, int balancerCount) {
         TreeSet<Integer> replicas = new TreeSet<>();
         for (int i = 1; i <= REPLICAS && replicas.size() < balancerCount - 1; i++) {
@@ -73,7 +77,7 @@
         nextSendAt = now + FIRST_REPEAT_DELAY;
     }
 
-    /** Returns the time at which the orders of this balancer are to be sent again; Long.MAX_VALUE while there are none. */
+    /** Returns the time at which the orders of this balancer are to be sent again; Long.MAX_VALUE if no repeat is scheduled. */
     long nextSendAt() {
         return nextSendAt;
     }
--- a/balancer/src/main/java/gorsestack/recovery/PeerLearnedState.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerLearnedState.java
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Returns for each locality the lowest concurrency limit and the mean latency ratios. Response rates stay 0, as they differ from
-     * balancer to balancer.
+     * Returns for each locality the lowest concurrency limit and the mean latency ratios, or zeros if no peer has reported the locality.
+     * Response rates stay 0, as they differ from balancer to balancer.
      */
     List<LearnedLocality> merged() {
         List<LearnedLocality> merged = new ArrayList<>();
--- a/balancer/src/main/java/gorsestack/recovery/PeerMessage.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerMessage.java
@@ -60,7 +60,7 @@
     /**
      * State that a peer sends in response to a state request.
      *
-     * @param rememberedIncarnation highest incarnation that the peer has seen of the requesting balancer
+     * @param rememberedIncarnation highest incarnation that the peer has seen of the requesting balancer; 0 if it has seen none
      * @param endpointIndex index of the peer's endpoint list
      * @param learned learned state by locality, the peer's own locality first; empty from a process that has started recently
      */
--- a/balancer/src/main/java/gorsestack/recovery/PeerMessageCodec.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerMessageCodec.java
@@ -33,7 +33,10 @@
     private static final int LOCALITY_BYTES = 20;
     /** Bytes of an order besides the name: length of the name, age of the order and age of its end. */
     private static final int ORDER_FIXED_BYTES = 17;
-    /** Maximum length of a replicated upstream name in bytes. An order with a longer name would not fit into a datagram and is skipped. */
+    /**
+     * Maximum length of a replicated upstream name in bytes, which is sent as one signed byte. An order with a longer name is not
+     * replicated.
+     */
     private static final int MAX_NAME_BYTES = 120;
 
     private static final long NANOS_PER_MS = 1_000_000;
@@ -144,7 +147,10 @@
         return Optional.of(new StateResponse(remembered, index, localities));
     }
 
-    /** Encodes maintenance orders in as many datagrams as are needed. Each datagram can be decoded without the others. */
+    /**
+     * Encodes maintenance orders in as many datagrams as are needed, except orders whose upstream name is too long. Each datagram can be
+     * decoded without the others.
+     */
     static List<byte[]> orders(
             Kind kind, long incarnation, long uptime, Map<String, MaintenanceOrder> orders, long now) {
         List<byte[]> datagrams = new ArrayList<>();
--- a/balancer/src/main/java/gorsestack/recovery/PeerRecovery.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerRecovery.java
@@ -10,9 +10,9 @@
 import java.util.Optional;
 
 /**
- * Protocol by which a balancer restores state from its peers after a restart. A process that has just started requests from a few peers
- * the highest incarnation they have seen of it, the index of their endpoint list, their learned state, and its own maintenance orders,
- * which peers replicate. Every message carries the incarnation of the sender, so that messages of replaced processes are detected.
+ * Protocol by which a balancer restores state from its peers after a restart. A process that has just started requests from a few peers the
+ * highest incarnation they have seen of it, the index of their endpoint list, their learned state, and its own maintenance orders, which
+ * peers replicate. Every message with a header carries the incarnation of the sender, so that messages of replaced processes are detected.
  *
  * <p>Used by the server package on the event loop's thread. Callers pass the current time. This class performs no I/O: it sends messages
  * and schedules timers through {@link Actions}, and no method waits for a response.
@@ -29,16 +29,21 @@
         /** Called when a peer has seen a higher incarnation than this process had. This process uses the given one from now on. */
         void incarnationRaised(long incarnation);
 
-        /** Called when a peer has sent the maintenance orders that it stored for this balancer. */
+        /** Called for each datagram with maintenance orders that a requested peer has stored for this balancer. */
         void ordersRestored(Map<String, MaintenanceOrder> orders);
 
-        /** Called when a peer has a later endpoint list than this process. */
+        /** Called when a peer has a later endpoint list than this process and than the peers that responded before. */
         void endpointListOutdated(long peerIndex);
 
-        /** Called with the merged learned state of peers in the same zone, if this process has none of its own. */
+        /**
+         * Called after the last round with the merged learned state of peers in the same zone, if this process has none of its own and most
+         * requested peers responded.
+         */
         void learnedStateRestored(List<LearnedLocality> learned);
 
-        /** Called when most of the requested peers are silent. Restored learned state was then learned in a larger fleet. */
+        /**
+         * Called after the last round if most of the requested peers are silent. Restored learned state was then learned in a larger fleet.
+         */
         void mostPeersSilent();
     }
 
@@ -56,7 +61,7 @@
      *
      * @param stale messages from processes that have been replaced
      * @param malformed messages that could not be decoded or were not expected
-     * @param rateLimited requests above the rate limit
+     * @param rateLimited messages that got no response because of the rate limit
      */
     public record DroppedMessages(long stale, long malformed, long rateLimited) {}
 
@@ -133,7 +138,10 @@
         return now - startedAt;
     }
 
-    /** Returns a load report as it is sent to a peer: with a header if the peer is known to support it, else unchanged. */
+    /**
+     * Returns a load report as it is sent to a peer: with a header if the peer is known to support it and the report fits behind it, else
+     * unchanged.
+     */
     public byte[] encodeLoadReport(long now, int peer, byte[] report) {
         if (!peers.supportsHeader(now, peer)) {
             return report;
@@ -269,7 +277,7 @@
         }
     }
 
-    /** Sends repeats and requests that are due at the given time. */
+    /** Sends the repeats and requests that are due at the given time, and ends the requests after the last round. */
     public void check(long now) {
         if (now >= replication.nextSendAt()) {
             sendOwnOrders(now);
--- a/balancer/src/main/java/gorsestack/recovery/PeerTable.java
+++ b/balancer/src/main/java/gorsestack/recovery/PeerTable.java
@@ -15,7 +15,10 @@
      * version again.
      */
     private static final long DOWNGRADE_DELAY = 10 * SECOND;
-    /** Interval in nanoseconds at which a stale process gets a response, from which it learns the incarnation it has to exceed. */
+    /**
+     * Minimum interval in nanoseconds between responses to a stale process that has not requested state. The response contains the
+     * incarnation that the process has to exceed.
+     */
     private static final long STALE_RESPONSE_INTERVAL = SECOND;
     /** Minimum number of seen peers from which the fraction of recently started ones is evidence, unless the fleet is smaller. */
     private static final int MIN_PEERS_FOR_FRACTION = 3;
@@ -23,7 +26,7 @@
     private final int balancerCount;
     private final long recentlyStarted;
     private final long[] highestIncarnation;
-    /** Time of the last message with a header, by peer; 0 if there was none. */
+    /** Time of the last message with a header, by peer; 0 if there was none, or if a message without a header was accepted after it. */
     private final long[] lastSeenAt;
 
     private final long[] processStartedAt;
--- a/balancer/src/main/java/gorsestack/recovery/PersistentState.java
+++ b/balancer/src/main/java/gorsestack/recovery/PersistentState.java
@@ -16,7 +16,7 @@
  * report, its annotation names the key.
  *
  * @param name name of the balancer
- * @param incarnation incarnation of the process that wrote the state; increases with each start
+ * @param incarnation highest incarnation of the balancer that the process that wrote the state knew; increases with each start
  * @param writtenAt time at which the state was written; 0 if no state was found
  * @param maintenanceOrders maintenance orders by upstream
  * @param learned learned state by locality
--- a/balancer/src/main/java/gorsestack/recovery/RestorePolicy.java
+++ b/balancer/src/main/java/gorsestack/recovery/RestorePolicy.java
@@ -31,7 +31,7 @@
     /**
      * Parts of a stored state that are still valid.
      *
-     * @param maintenanceOrders maintenance orders, which are valid at any age
+     * @param maintenanceOrders maintenance orders, which are valid at any age; empty if the state is of another balancer
      * @param endpointSnapshot endpoint snapshot, or null if none is valid
      * @param learned learned state, decayed by its age; empty if none is valid
      * @param incarnation incarnation of this process
--- a/balancer/src/main/java/gorsestack/recovery/StateCodec.java
+++ b/balancer/src/main/java/gorsestack/recovery/StateCodec.java
@@ -49,7 +49,7 @@
 
     /**
      * Reads the text form of this version or of version 0.5. From a damaged text, or one of a later version, it reads only the maintenance
-     * orders that can be verified.
+     * orders that can be verified; lines of version 0.5 have no checksum.
      */
     public static DecodedState read(String text) {
         if (text.isEmpty()) {
--- a/balancer/src/main/java/gorsestack/recovery/StateRequests.java
+++ b/balancer/src/main/java/gorsestack/recovery/StateRequests.java
@@ -45,7 +45,7 @@
         nextRoundAt = balancerCount > 1 ? now + (long) (random.next() * START_JITTER) : Long.MAX_VALUE;
     }
 
-    /** Returns the time at which the next round or the end of the last one is due; Long.MAX_VALUE once finished. */
+    /** Returns the time at which the next round or the end of the last one is due; Long.MAX_VALUE once finished, or without peers. */
     long nextRoundAt() {
         return nextRoundAt;
     }
