--- a/balancer/src/main/java/gorsestack/wire/AttemptListener.java
+++ b/balancer/src/main/java/gorsestack/wire/AttemptListener.java
@@ -7,7 +7,10 @@
  * thread, except for {@link #mayBeSent}.
  */
 public interface AttemptListener {
-    /** Called when the attempt has ended. The response is present only if the outcome is fulfilled, and null otherwise. */
+    /**
+     * Called once when the attempt has ended, unless it was given up. The response is present only if the outcome is fulfilled, and null
+     * otherwise.
+     */
     void ended(Outcome outcome, Response response);
 
     /** Called just before {@link #ended} with the load that the upstream reported in its response. */
@@ -26,7 +29,10 @@
      */
     default void written(long firstByteAt) {}
 
-    /** Called when the request was not sent because {@link #mayBeSent} returned false. */
+    /**
+     * Called when the request was not sent because, when it was about to be written, {@link #mayBeSent} returned false or the upstream
+     * accepted no more requests. {@link #ended} follows.
+     */
     default void notSent() {}
 
     /**
--- a/balancer/src/main/java/gorsestack/wire/Channel.java
+++ b/balancer/src/main/java/gorsestack/wire/Channel.java
@@ -2,7 +2,10 @@
 
 import java.util.function.BooleanSupplier;
 
-/** One connection, as its {@link ConnectionHandler} controls it. Called on the event loop's thread. */
+/**
+ * One connection, as its {@link ConnectionHandler} controls it. Called on the event loop's thread, except for {@link #open}, which may be
+ * called on any thread.
+ */
 public interface Channel {
 
     /** Queues these bytes to be sent. */
--- a/balancer/src/main/java/gorsestack/wire/ClientConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientConnection.java
@@ -45,7 +45,7 @@
 
     /** Whether the connection is closed after the response to the open request. */
     private boolean lastResponse;
-    /** Whether the last response was written and the connection only waits for the client to close. */
+    /** Whether a request was rejected, or had its response before its end: input that still arrives is discarded. */
     private boolean lingering;
     /** Whether a request was read to its end and has no complete response yet. */
     private boolean responseOwed;
@@ -247,15 +247,18 @@
         reader.nextRequest();
         enter(State.IDLE);
         if (reader.hasReadAhead()) {
-            // This runs as a task of its own: hundreds of requests sent ahead, each answered at once, would be parsed
-            // in nested calls and overflow the stack.
+            // This runs as a task of its own: hundreds of requests sent ahead, if each has its response at once, would
+            // be parsed in nested calls and overflow the stack.
             eventLoop.execute(reader::parseReadAhead);
         } else if (reader.pipelining() && handler.closing()) {
             closeIfIdle();
         }
     }
 
-    /** Closes an overdue connection: requests that never end or never begin would take up all connections that clients may have. */
+    /**
+     * Closes an overdue connection: requests that never end or never begin, and responses that are not read, would take up all connections
+     * that clients may have.
+     */
     public void giveUpIfOverdue() {
         long now = eventLoop.now();
         if (download != null && timings.responseStalled(now)) {
--- a/balancer/src/main/java/gorsestack/wire/ClientRequestHandler.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientRequestHandler.java
@@ -25,7 +25,9 @@
     /** Returns the budget for the memory that all large bodies share. */
     BufferBudget bufferBudget();
 
-    /** Called when the client has disconnected or its connection is given up while the call is still open. */
+    /**
+     * Called when the client has disconnected, its connection is given up or its request is rejected. A call that is open gets no response.
+     */
     void clientDisconnected(ClientConnection from);
 
     /** Called when the connection has ended; may be called twice. */
--- a/balancer/src/main/java/gorsestack/wire/ClientTimings.java
+++ b/balancer/src/main/java/gorsestack/wire/ClientTimings.java
@@ -37,7 +37,7 @@
         idleSince = now;
     }
 
-    /** Returns whether the client has stopped reading a response that is being relayed to it. */
+    /** Returns whether a response that is being relayed to the client has made no progress for too long. */
     boolean responseStalled(long now) {
         return now - lastProgressAt >= limits.upstream().streamStallTimeoutNanos();
     }
--- a/balancer/src/main/java/gorsestack/wire/DiscoveryWatch.java
+++ b/balancer/src/main/java/gorsestack/wire/DiscoveryWatch.java
@@ -15,7 +15,10 @@
         /** Called for each event of the watch: a list of endpoints, or changes to it. */
         void watchEvent(WatchEvent event);
 
-        /** Called when a watch ended before it delivered anything; it will be opened again. */
+        /**
+         * Called when the active watch ended before it delivered anything, unless a move to another address is under way; it will be opened
+         * again.
+         */
         void watchFailed();
 
         /** Returns a random number from 0 up to 1 that is not drawn from the balancing policy's generator. */
@@ -30,7 +33,7 @@
     private final Listener listener;
     private final PollBackoff backoff;
     private InetSocketAddress address;
-    /** The watch whose list is in use; null between two watches. */
+    /** The watch on the address in use; null between two watches. */
     private Watch active;
     /** The watch on an address that is being moved to, until it delivers its list; null if there is none. */
     private Watch candidate;
@@ -59,12 +62,12 @@
         backoff = new PollBackoff(limits, listener::jitter);
     }
 
-    /** Returns the address from which the list in use came. */
+    /** Returns the address from which the list in use came; the initial one until a move is complete. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Returns the version of the list in use. */
+    /** Returns the version of the list in use; 0 if none is known, or if the whole list is to be requested again. */
     public long index() {
         return index;
     }
--- a/balancer/src/main/java/gorsestack/wire/HttpParser.java
+++ b/balancer/src/main/java/gorsestack/wire/HttpParser.java
@@ -29,7 +29,7 @@
 
     private final boolean request;
     private final int maxHeadBytes;
-    /** Longest body that is buffered, in bytes. */
+    /** Length in bytes above which a body counts as large. */
     private final int maxBufferedBytes;
 
     private final long maxBodyBytes;
@@ -77,7 +77,10 @@
         body.write(bytes, offset, length);
     }
 
-    /** Returns whether the body is, or is declared to be, too large to be buffered. The caller then has to call {@link #streamTo}. */
+    /**
+     * Returns whether the body is, or is declared to be, larger than the limit for buffering. All of it is buffered nevertheless, unless
+     * the caller calls {@link #streamTo}.
+     */
     boolean large() {
         return head != null
                 && state != State.DONE
--- a/balancer/src/main/java/gorsestack/wire/MessageHead.java
+++ b/balancer/src/main/java/gorsestack/wire/MessageHead.java
@@ -6,7 +6,9 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** The head of a message: the bytes as received, and the header fields by their names in lower case. Immutable. */
+/**
+ * The head of a message: the bytes as received, with folded lines joined, and the header fields by their names in lower case. Immutable.
+ */
 public final class MessageHead {
     private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
@@ -35,7 +37,7 @@
      * Parses a head.
      *
      * @param bytes all lines, each with its line end, without the final empty line; folded lines are joined in place
-     * @param strict whether control characters are an error in header fields too, as they are in a request
+     * @param strict whether characters other than printable ASCII and tabs are an error in header fields too, as they are in a request
      */
     MessageHead(byte[] bytes, boolean strict) throws MalformedMessageException {
         this.bytes = bytes;
@@ -141,7 +143,10 @@
         return false;
     }
 
-    /** Copies the header lines unchanged, without the hop-by-hop fields and the excluded ones. */
+    /**
+     * Copies the header lines unchanged, without the hop-by-hop fields, the excluded ones and those whose value has characters other than
+     * printable ASCII and tabs.
+     */
     void copyFields(ByteArrayOutputStream out, String... excluded) {
         Set<String> skipped = new HashSet<>(HOP_BY_HOP);
         skipped.addAll(Set.of(excluded));
--- a/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
+++ b/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
@@ -17,8 +17,8 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * Implements the sockets with Apache MINA: one acceptor and one connector on one processor, on three threads named "io". MINA's callbacks
- * run on the processor's thread and pass everything to the event loop, in the order in which it was read.
+ * Implements the sockets with Apache MINA: an acceptor for each listener and one connector on one processor, each on a thread of its own
+ * named "io". MINA's callbacks run on the processor's thread and pass everything to the event loop, in the order in which it was read.
  */
 public final class MinaNetwork implements Network {
     private static final String HANDLER = "handler";
--- a/balancer/src/main/java/gorsestack/wire/RequestProgress.java
+++ b/balancer/src/main/java/gorsestack/wire/RequestProgress.java
@@ -15,7 +15,7 @@
     private boolean writtenReported;
     /** Whether the sockets' thread found that the request may not be sent, and has written nothing of it. */
     private volatile boolean denied;
-    /** Time at which the sockets' thread released the request's first byte. */
+    /** Time at which the sockets' thread released the request's first byte or denied it. */
     private volatile long firstByteAt;
 
     /** Begins a new attempt. */
--- a/balancer/src/main/java/gorsestack/wire/Response.java
+++ b/balancer/src/main/java/gorsestack/wire/Response.java
@@ -13,7 +13,10 @@
  */
 public record Response(int status, byte[] fields, byte[] body, BodyRelay rest) {
 
-    /** Creates the response to a client from an upstream's response, with its header lines and body unchanged. */
+    /**
+     * Creates the response to a client from an upstream's response: its header lines, without the hop-by-hop fields and the load report,
+     * and its body.
+     */
     static Response of(MessageHead head, byte[] body, BodyRelay rest) {
         ByteArrayOutputStream fields = new ByteArrayOutputStream(128);
         head.copyFields(fields, LoadReport.NAME);
--- a/balancer/src/main/java/gorsestack/wire/SessionChannel.java
+++ b/balancer/src/main/java/gorsestack/wire/SessionChannel.java
@@ -9,8 +9,9 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * One connection of {@link MinaNetwork}. The methods of {@link Channel} are called on the event loop's thread, those of
- * {@link SocketProcessor.Watcher}, {@link #countRead} and {@link #countDiscarded} on the processor's thread.
+ * One connection of {@link MinaNetwork}. The methods of {@link Channel} are called on the event loop's thread, except for {@link #open},
+ * which may be called on any thread; those of {@link SocketProcessor.Watcher}, {@link #countRead} and {@link #countDiscarded} on the
+ * processor's thread.
  *
  * <p>Reading is paused while too many bytes are queued for the event loop, for this connection or for all of them: otherwise a sender at
  * full speed would fill the heap with bytes that have not been handled yet.
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnection.java
@@ -35,13 +35,13 @@
     /** Relays the body of a large response, whose attempt has ended; null unless one is being relayed. */
     private BodyRelay download;
 
-    /** Whether the connection carried an attempt before the current one. */
+    /** Whether the connection was given an attempt before the current one. */
     private boolean reused;
     /** Whether nothing has arrived since the connection was given the request. */
     private boolean silent;
 
     private boolean closed;
-    /** Whether the upstream accepts no new requests; also read by the sockets' thread. */
+    /** Whether no new request may be sent on this connection; also read by the sockets' thread. */
     private volatile boolean noNewRequests;
 
     /** Creates a connection that has not been opened yet. */
@@ -342,7 +342,10 @@
         return connecting() && attempt == null;
     }
 
-    /** Stops new requests, as the upstream accepts none: a request that has not begun to be sent is not sent. */
+    /**
+     * Stops new requests, as the upstream drains, is in maintenance, was removed, has restarted or has another address: a request that has
+     * not begun to be sent is not sent.
+     */
     public void withdraw() {
         noNewRequests = true;
         if (connecting()) {
--- a/balancer/src/main/java/gorsestack/wire/UpstreamConnectionOwner.java
+++ b/balancer/src/main/java/gorsestack/wire/UpstreamConnectionOwner.java
@@ -2,7 +2,7 @@
 
 /** The pool that owns upstream connections. Called by them on the event loop's thread. */
 public interface UpstreamConnectionOwner {
-    /** Called when the connection has been established or its response is complete, and it carries no attempt. */
+    /** Called when the connection has been established without an attempt, or when its response is complete and it can be reused. */
     void becameIdle(UpstreamConnection connection);
 
     /** Called when the connection has ended; may be called twice. */
@@ -17,7 +17,7 @@
     /** Returns whether the connect may continue although no attempt waits for it. */
     boolean mayContinueConnecting(UpstreamConnection connection);
 
-    /** Called when bytes have arrived that belong to no response. */
+    /** Called when bytes have arrived that belong to no response, and when a response without a length has ended with its connection. */
     void unexpectedBytes();
 
     /** Returns whether the upstream still accepts new requests at this connection's address. */
--- a/balancer/src/main/java/gorsestack/wire/WatchEvent.java
+++ b/balancer/src/main/java/gorsestack/wire/WatchEvent.java
@@ -14,7 +14,7 @@
 
 /**
  * One event of the watch on discovery. Immutable; {@link DiscoveryWatch} parses it and passes it to its listener on the event loop's
- * thread.
+ * thread, and the configuration parses its endpoint list with {@link #read}.
  *
  * @param index version of the list after this event
  * @param update the update for the balancing policy
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Parses an event. An entry without a name or address is skipped with one line in the log.
+     * Parses an event. An entry without a name, or in service without a valid address, is skipped with one line in the log.
      *
      * @param kindOverride the kind of update, or null to take it from the event
      */
