--- a/balancer/src/test/java/gorsestack/recovery/SnapshotStoreTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/SnapshotStoreTest.java
@@ -353,7 +353,10 @@
                 > restored(state(7), NOW).incarnation());
     }
 
-    /** When up to 1000 balancers restart at once, all send their request by the deadline, and no more per second than allowed. */
+    /**
+     * When up to 1000 balancers restart at once, all send their request by the deadline or, if that is sooner than two seconds, within two
+     * seconds, and no more per second than allowed.
+     */
     @Test
     void spreadsListRequestsOfRestartingFleet() {
         for (int count : new int[] {1, 8, 24, 1000}) {
--- a/balancer/src/test/java/gorsestack/wire/ClientConnectionStatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/ClientConnectionStatesTest.java
@@ -9,9 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Runs every sequence of a few events on a client connection and compares the responses with a simple model of those that are owed. Guards
- * against responses that are missing, sent without a request or written after the end, as happens when a request arrives while the
- * connection is being closed. An injected fault shows that the check can fail.
+ * Runs every sequence of five of the events on a client connection and compares the responses with a simple model of those that are owed.
+ * Guards against responses that are missing, sent without a request or written after the end, as happens when a request arrives while the
+ * connection is being closed. An injected fault drops the connection where it should be closed only if idle. With it, a run also fails if
+ * the connection was dropped while nothing was owed.
  */
 class ClientConnectionStatesTest {
     private static final Limits LIMITS = TestLimits.forMembershipMode("subscribe");
--- a/balancer/src/test/java/gorsestack/wire/DiscoveryWatchStatesTest.java
+++ b/balancer/src/test/java/gorsestack/wire/DiscoveryWatchStatesTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Runs every sequence of a few events on a watch of the endpoint list and checks the time within which a list is received afterwards.
- * Guards against a watch that is not reopened, or reopened too late, after a refusal, a reset, silence or a move of discovery. An injected
- * fault shows that the check can fail.
+ * Runs every sequence of five or six events on a watch of the endpoint list and checks the time within which a list is received afterwards.
+ * Guards against a watch that is not reopened, or reopened too late, after a refusal, a reset, silence or a move of discovery. A bound that
+ * cannot be met shows that the check can fail.
  */
 class DiscoveryWatchStatesTest {
     private static final long MS = 1_000_000;
@@ -71,11 +71,11 @@
     }
 
     /**
-     * Applies one sequence of events to one watch. After each event a request must be under way or scheduled within the bound, there must
-     * be no more than two connections, and lists must come only from an address that is followed.
+     * Applies one sequence of events to one watch. After each event there must be no more than two connections, and lists must come only
+     * from an address that is followed. After the sequence a list must be received within the bound.
      */
     private static final class SequenceRun {
-        /** The injected fault: no time passes, and the bound is far too short. */
+        /** Whether no time passes in the sequence and the bound is far too short, so that the check must fail. */
         private final boolean impossibleBound;
         /**
          * Time within which a list must be received once discovery is reachable, in milliseconds, unless a silent request may be under way.
