--- a/balancer/src/main/java/gorsestack/admin/Handover.java
+++ b/balancer/src/main/java/gorsestack/admin/Handover.java
@@ -23,8 +23,8 @@
 /**
  * Shares state between two processes of one balancer during an upgrade, and stores it for the next process. Maintenance orders, learned
  * state and the endpoint snapshot are in a shared file; file locks show whether another process runs. Created by the server package. Files
- * are accessed on a separate thread, except by the constructor, {@link #startAccepting} and {@link #stopAccepting}. These three and {@link
- * #successorAccepts} must not be called on the event loop's thread, as they block.
+ * are accessed on a separate thread, except by the constructor, {@link #startAccepting} and {@link #stopAccepting}. These three and
+ * {@link #successorAccepts} must not be called on the event loop's thread, as they block.
  */
 public final class Handover {
     /** Receives changes by other processes, and provides the state of this process. Called on the event loop's thread. */
