--- a/balancer/src/main/java/gorsestack/fleet/ConsensusNode.java
+++ b/balancer/src/main/java/gorsestack/fleet/ConsensusNode.java
@@ -59,7 +59,7 @@
     private static final String NEW_TERM_OPERATION = "term";
     /** Maximum number of uncommitted log entries of a leader. Further proposals are rejected, and their requesters retry later. */
     private static final int MAX_PENDING_ENTRIES = 500;
-    /** Number of commits between two snapshots, which is some hundred kilobytes of commands. */
+    /** Number of commits between two snapshots, which is several hundred kilobytes of commands. */
     private static final int SNAPSHOT_INTERVAL = 2_000;
 
     private static final int ELECTION_TIMEOUT_MILLIS = 300;
@@ -76,7 +76,7 @@
      * Creates a node, which takes no part in the group until {@link #start} is called.
      *
      * @param self this member
-     * @param voters members of the group at its first start
+     * @param voters members of the group at its first start; ignored if a state is restored
      * @param restored state that an earlier process of this identity has persisted, or null if there is none
      */
     public ConsensusNode(
@@ -124,7 +124,7 @@
         node.terminate();
     }
 
-    /** Handles a Raft message from another member. */
+    /** Handles a Raft message from another member. Drops it if this node is not running. */
     public void onMessage(RaftMessage message) {
         if (running()) {
             node.handle(message);
@@ -145,7 +145,10 @@
         return self.equals(leader());
     }
 
-    /** Proposes a command through the leader. The command may be committed at any later time, or never, so the requester retries. */
+    /**
+     * Proposes a command through the leader, or drops it if no leader is known. The command may be committed at any later time, or never,
+     * so the requester retries.
+     */
     public void propose(LeaseCommand command) {
         Member leader = leader();
         if (leader == null || !running()) {
@@ -159,7 +162,7 @@
         }
     }
 
-    /** Proposes a command that another member has forwarded. Drops it if this member is not the leader. */
+    /** Proposes a command that another member has forwarded. Drops it if this member is not the leader or not running. */
     public void onForwarded(LeaseCommand command) {
         if (isLeader() && running()) {
             node.replicate(command);
--- a/balancer/src/main/java/gorsestack/fleet/FencingTokenGuard.java
+++ b/balancer/src/main/java/gorsestack/fleet/FencingTokenGuard.java
@@ -11,7 +11,7 @@
     public enum Verdict {
         /** The effect is new and is executed now. */
         ACCEPTED,
-        /** The effect has been accepted before and is not executed again. */
+        /** The effect has been accepted before, or a later one of its epoch has; it is not executed. */
         DUPLICATE,
         /** The effect comes from an earlier owner and must never be executed. */
         STALE,
--- a/balancer/src/main/java/gorsestack/fleet/LeaseCommand.java
+++ b/balancer/src/main/java/gorsestack/fleet/LeaseCommand.java
@@ -40,7 +40,7 @@
             long grantedVersion)
             implements LeaseCommand {}
 
-    /** Releases a lease. Its owner executes no further effects under that epoch. */
+    /** Releases a lease. Its owner requests no further effects under that epoch. */
     record Release(String leaseName, LeaseOwner requester, long requestId, long epoch) implements LeaseCommand {}
 
     /**
--- a/balancer/src/main/java/gorsestack/fleet/LeaseManager.java
+++ b/balancer/src/main/java/gorsestack/fleet/LeaseManager.java
@@ -63,7 +63,7 @@
     private long epoch;
 
     private long expiresAt;
-    /** Last epoch whose lease this process has lost; 0 if there is none. */
+    /** Last epoch whose lease this process has lost or given up; 0 if there is none. */
     private long lastLostEpoch;
 
     private long minEpoch;
@@ -167,12 +167,15 @@
                 Math.max(0, nextTickAt - now));
     }
 
-    /** Returns whether this process holds the lease now. Called before each effect. */
+    /** Returns whether this process owns the lease now. Called before each effect. */
     public boolean mayAct(long now) {
         return epoch > 0 && now < expiresAt;
     }
 
-    /** Returns the epoch, which is the fencing token that each effect has to carry; 0 if this process does not hold the lease. */
+    /**
+     * Returns the epoch, which is the fencing token that each effect has to carry; 0 if this process does not own the lease. An expired
+     * lease keeps its epoch until the next tick, so {@link #mayAct} decides whether the epoch may be used.
+     */
     public long epoch() {
         return epoch;
     }
@@ -180,8 +183,9 @@
     private void scheduleNext(long now) {
         long wait;
         if (pendingKind != RequestKind.NONE) {
-            // The proposal was lost, or its commit was not observed yet. If it was committed, repeating it changes
-            // nothing.
+            // The proposal was lost, or its commit was not observed yet. Repeating it is safe: an acquisition is
+            // applied
+            // only once, and a repeated renewal counts from the same request.
             wait = Math.max(1, duration / RETRIES_PER_DURATION);
         } else if (epoch > 0) {
             wait = Math.max(0, requestedAt + duration / RENEWALS_PER_DURATION - now);
@@ -236,7 +240,7 @@
 
     /**
      * Starts or extends the ownership of a lease that was granted to this process. A grant that is observed after its lease has expired is
-     * treated like a grant to another owner. An epoch whose lease was lost is not used again, because its effects would be numbered from 1
+     * ignored. An epoch whose lease was lost is not used again, because its effects would be numbered from 1
      * again. The lease counts from the request of the proposal that was granted.
      */
     private void acceptGrant(long now, long requestTime, LeaseTable.Entry after) {
@@ -342,7 +346,7 @@
         minEpoch = Math.max(minEpoch, highestEpoch + 1);
     }
 
-    /** Sets whether this member acquires the lease when it can. If not, releases a lease that it holds at once. */
+    /** Sets whether this member acquires the lease when it can. If not, releases a lease that it owns at once. */
     public void setCandidate(long now, boolean newCandidate) {
         candidate = newCandidate;
         if (!newCandidate && epoch > 0) {
--- a/balancer/src/main/java/gorsestack/fleet/LeaseTable.java
+++ b/balancer/src/main/java/gorsestack/fleet/LeaseTable.java
@@ -16,7 +16,7 @@
      * The state of one lease.
      *
      * @param version number that rises with each change
-     * @param owner owner of the lease, or null if it was released
+     * @param owner owner of the lease, or null if it was released or never acquired
      * @param epoch highest epoch so far, which is the fencing token of the owner's effects
      * @param duration duration of the lease, in nanoseconds
      * @param unfinishedWork descriptions of the unfinished work, by its identifier
@@ -56,8 +56,9 @@
     }
 
     /**
-     * Applies a command, and returns whether it changed the state. A command that is late, repeated or from an earlier owner changes
-     * nothing.
+     * Applies a command, and returns whether it changed the state. An acquisition changes nothing if the entry has changed since the
+     * request. Other commands change nothing if the requester does not own the lease under their epoch. Neither does the begin of work that
+     * is recorded already, nor the end of work that is not. A renewal changes only the version, also when it is repeated.
      */
     public boolean apply(LeaseCommand command) {
         Entry after = next(entry(command.leaseName()), command);
--- a/balancer/src/main/java/gorsestack/fleet/store/MemberLog.java
+++ b/balancer/src/main/java/gorsestack/fleet/store/MemberLog.java
@@ -27,22 +27,24 @@
 
 /**
  * The durable Raft log of a member: an append-only file in which each line has a checksum and a JSON object. The file is compacted when
- * snapshots have made most of it obsolete. Everything is synced before it is acknowledged. Used by the thread of the member's {@link
- * gorsestack.fleet.ConsensusNode}; not thread-safe.
+ * it is opened, and whenever it exceeds twice its size after the last compaction by {@link #COMPACTION_MARGIN_BYTES}. Everything is synced
+ * before it is acknowledged. Not thread-safe: it is used on the thread on which its host calls the {@link gorsestack.fleet.ConsensusNode}.
+ * So far only tests create it.
  *
- * <p>A tail without intact lines comes from a write that was cut off. It was never acknowledged and is dropped. After any other damage, or
- * after a failed write, the member must not vote any more, because it would confirm entries and votes that it may have lost.
+ * <p>A damaged or incomplete line that no intact line follows is dropped together with everything after it. It usually comes from a write
+ * that was cut off and so was never acknowledged; later damage to the last lines looks the same and is dropped too. After any other damage,
+ * or after a failed write, the member must not vote any more, because it would confirm entries and votes that it may have lost.
  */
 public final class MemberLog implements RaftStore {
     /**
-     * Maximum size of the file that is read, in bytes. The entries of two snapshots, of some 300 bytes each, come to a tenth of it, so a
-     * larger file is not a log of this program.
+     * Maximum size of a file that is read, in bytes. Between two snapshots the log grows by some 300 bytes for each entry; the entries of
+     * two such intervals take less than a tenth of this size, so a larger file is not a log of this program.
      */
     static final int MAX_BYTES = 16 << 20;
 
     private static final int FORMAT_VERSION = 1;
-    /** Number of obsolete bytes, in addition to as many as there are live bytes, above which the file is compacted. */
-    private static final int MAX_OBSOLETE_BYTES = 1 << 20;
+    /** Number of bytes by which the file may exceed twice its size after the last compaction until it is compacted again. */
+    private static final int COMPACTION_MARGIN_BYTES = 1 << 20;
 
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
 
@@ -50,18 +52,21 @@
     private final String file;
     private final StringBuilder unwritten = new StringBuilder();
     private final TreeMap<Long, ObjectNode> entries = new TreeMap<>();
-    private ObjectNode local;
+    private ObjectNode localEndpoint;
     private ObjectNode members;
     private ObjectNode term;
     private List<ObjectNode> chunks = new ArrayList<>();
     private long fileBytes;
-    private long liveBytes;
-    private boolean failed;
+    /** Size of the file after the last compaction; 0 if it was not compacted yet. */
+    private long bytesAfterCompaction;
+    /** Whether a write is in progress or has failed; after a failure no more writes are possible. */
+    private boolean writeUnconfirmed;
 
     /**
      * Reads the log of an earlier process of this member, if there is one, and compacts it.
      *
-     * @throws IOException if the log cannot be read, is too large, is damaged before an intact line, or has an unknown format
+     * @throws IOException if the file cannot be read or rewritten, is too large, has a damaged line that an intact line follows, or has a
+     *     line of an unknown kind or format version
      */
     public MemberLog(Storage storage, String file) throws IOException {
         this.storage = storage;
@@ -72,7 +77,8 @@
                 throw new IOException(file + " is too large for a member log: " + content.length + " bytes");
             }
             read(new String(content, StandardCharsets.UTF_8));
-            // The file is compacted at once, because lines appended after one that was cut off could never be read.
+            // The file is compacted at once. Lines appended after one that was cut off would be lost or would make the
+            // next start reject the file.
             compact();
         }
     }
@@ -86,7 +92,7 @@
                 for (int next = end; next >= 0 && next < text.length() - 1; ) {
                     int after = text.indexOf('\n', next + 1);
                     if (after >= 0 && StateCodec.verifiedJson(text.substring(next + 1, after)) != null) {
-                        throw new IOException(file + " is damaged at byte " + from
+                        throw new IOException(file + " is damaged at character " + from
                                 + " and has intact lines after it; this member must not vote under" + " its identity");
                     }
                     next = after;
@@ -98,27 +104,29 @@
         }
     }
 
-    private void applyLine(ObjectNode line) throws IOException {
-        switch (line.path("is").asText()) {
+    private void applyLine(ObjectNode parsedLine) throws IOException {
+        switch (parsedLine.path("is").asText()) {
             case "local" -> {
-                if (line.path("form").asInt() != FORMAT_VERSION) {
-                    throw new IOException(
-                            file + " has format version " + line.path("form").asInt() + ", expected " + FORMAT_VERSION);
+                if (parsedLine.path("form").asInt() != FORMAT_VERSION) {
+                    throw new IOException(file + " has format version "
+                            + parsedLine.path("form").asInt() + ", expected " + FORMAT_VERSION);
                 }
-                local = line;
+                localEndpoint = parsedLine;
             }
-            case "members" -> members = line;
-            case "term" -> term = line;
-            case "entry" -> entries.put(line.path("index").asLong(), line);
-            case "from" -> entries.tailMap(line.path("index").asLong(), true).clear();
-            case "until" -> entries.headMap(line.path("index").asLong(), true).clear();
-            case "chunk" -> chunks.add(line);
+            case "members" -> members = parsedLine;
+            case "term" -> term = parsedLine;
+            case "entry" -> entries.put(parsedLine.path("index").asLong(), parsedLine);
+            case "from" ->
+                entries.tailMap(parsedLine.path("index").asLong(), true).clear();
+            case "until" ->
+                entries.headMap(parsedLine.path("index").asLong(), true).clear();
+            case "chunk" -> chunks.add(parsedLine);
             case "unchunk" ->
-                chunks.removeIf(
-                        c -> c.path("index").asLong() == line.path("index").asLong());
+                chunks.removeIf(c ->
+                        c.path("index").asLong() == parsedLine.path("index").asLong());
             default ->
                 throw new IOException(file + " has a line of an unknown kind: "
-                        + line.path("is").asText());
+                        + parsedLine.path("is").asText());
         }
     }
 
@@ -127,14 +135,14 @@
         return StateCodec.line(node.toString());
     }
 
-    private void add(ObjectNode node) throws IOException {
+    private void applyAndQueue(ObjectNode node) throws IOException {
         checkWritable();
         applyLine(node);
         unwritten.append(line(node));
     }
 
     private void checkWritable() throws IOException {
-        if (failed) {
+        if (writeUnconfirmed) {
             throw new IOException(
                     file + " cannot be written after an earlier write failed; this member no longer votes");
         }
@@ -146,9 +154,9 @@
         if (unwritten.length() == 0) {
             return;
         }
-        // The flag stays set until the write has succeeded: a failed write may leave half a line, after which nothing
-        // may be appended.
-        failed = true;
+        // The flag is set during each write and stays set if the write fails: a failed write may leave half a line,
+        // after which nothing may be appended.
+        writeUnconfirmed = true;
         byte[] appended = unwritten.toString().getBytes(StandardCharsets.UTF_8);
         storage.append(file, appended);
         storage.sync(file);
@@ -157,16 +165,16 @@
         }
         fileBytes += appended.length;
         unwritten.setLength(0);
-        failed = false;
-        if (fileBytes > 2 * liveBytes + MAX_OBSOLETE_BYTES) {
+        writeUnconfirmed = false;
+        if (fileBytes > 2 * bytesAfterCompaction + COMPACTION_MARGIN_BYTES) {
             compact();
         }
     }
 
     private void compact() throws IOException {
-        failed = true;
+        writeUnconfirmed = true;
         StringBuilder text = new StringBuilder();
-        for (ObjectNode node : new ObjectNode[] {local, members, term}) {
+        for (ObjectNode node : new ObjectNode[] {localEndpoint, members, term}) {
             if (node != null) {
                 text.append(line(node));
             }
@@ -179,13 +187,13 @@
         storage.rename(file + ".new", file);
         storage.syncFolder();
         fileBytes = content.length;
-        liveBytes = content.length;
-        failed = false;
+        bytesAfterCompaction = content.length;
+        writeUnconfirmed = false;
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-        add(LeaseJson.object()
+        applyAndQueue(LeaseJson.object()
                 .put("is", "local")
                 .put("form", FORMAT_VERSION)
                 .put("votes", state.isVoting())
@@ -193,7 +201,7 @@
         flush();
     }
 
-    private static ObjectNode members(RaftGroupMembersView view) {
+    private static ObjectNode membersToJson(RaftGroupMembersView view) {
         ObjectNode node = LeaseJson.object().put("index", view.getLogIndex());
         ArrayNode all = node.putArray("all");
         view.getMembers().forEach(m -> all.add(LeaseJson.of((Member) m)));
@@ -202,7 +210,7 @@
         return node;
     }
 
-    private static RaftGroupMembersView members(JsonNode node) {
+    private static RaftGroupMembersView membersFromJson(JsonNode node) {
         return MODELS.createRaftGroupMembersViewBuilder()
                 .setLogIndex(node.path("index").asLong())
                 .setMembers(endpoints(node.path("all")))
@@ -218,7 +226,7 @@
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView view) throws IOException {
-        add(members(view).put("is", "members"));
+        applyAndQueue(membersToJson(view).put("is", "members"));
         flush();
     }
 
@@ -228,14 +236,14 @@
         if (state.getVotedFor() != null) {
             node.set("voted", LeaseJson.of((Member) state.getVotedFor()));
         }
-        add(node);
+        applyAndQueue(node);
         flush();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> added) throws IOException {
         for (LogEntry e : added) {
-            add(LeaseJson.object()
+            applyAndQueue(LeaseJson.object()
                     .put("is", "entry")
                     .put("index", e.getIndex())
                     .put("term", e.getTerm())
@@ -252,29 +260,29 @@
                 .put("term", chunk.getTerm())
                 .put("chunk", chunk.getSnapshotChunkIndex())
                 .put("chunks", chunk.getSnapshotChunkCount());
-        node.set("members", members(chunk.getGroupMembersView()));
+        node.set("members", membersToJson(chunk.getGroupMembersView()));
         node.set("entries", LeaseJson.of((Map<String, Entry>) chunk.getOperation()));
-        add(node);
+        applyAndQueue(node);
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        add(LeaseJson.object().put("is", "from").put("index", index));
+        applyAndQueue(LeaseJson.object().put("is", "from").put("index", index));
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        add(LeaseJson.object().put("is", "until").put("index", index));
+        applyAndQueue(LeaseJson.object().put("is", "until").put("index", index));
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        add(LeaseJson.object().put("is", "unchunk").put("index", index));
+        applyAndQueue(LeaseJson.object().put("is", "unchunk").put("index", index));
     }
 
     /** Returns the persisted state from which this process continues, or null if there is none yet. */
     public RestoredRaftState restored() throws IOException {
-        if (local == null || members == null) {
+        if (localEndpoint == null || members == null) {
             return null;
         }
         long snapshotIndex =
@@ -285,10 +293,10 @@
                 .build();
         return new RestoredRaftState(
                 MODELS.createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(LeaseJson.member(local.path("member")))
-                        .setVoting(local.path("votes").asBoolean())
+                        .setLocalEndpoint(LeaseJson.member(localEndpoint.path("member")))
+                        .setVoting(localEndpoint.path("votes").asBoolean())
                         .build(),
-                members(members),
+                membersFromJson(members),
                 persistentTerm,
                 snapshot(snapshotIndex),
                 entriesAfter(snapshotIndex));
@@ -305,7 +313,7 @@
                         .setOperation(LeaseJson.entries(chunk.path("entries")))
                         .setSnapshotChunkIndex(chunk.path("chunk").asInt())
                         .setSnapshotChunkCount(chunk.path("chunks").asInt())
-                        .setGroupMembersView(members(chunk.path("members")))
+                        .setGroupMembersView(membersFromJson(chunk.path("members")))
                         .build());
             }
         }
