--- a/lab/src/main/java/gorsestack/lab/run/LoopDelayMonitor.java
+++ b/lab/src/main/java/gorsestack/lab/run/LoopDelayMonitor.java
@@ -6,11 +6,13 @@
 
 /**
  * Measures how late the event loop runs tasks. All stand-ins and measurements of the lab run on this loop and are delayed as much, so a
- * run with high delays is inconclusive.
+ * run with high delays is inconclusive. Each {@link ScenarioRun} has one.
  */
 final class LoopDelayMonitor {
     private static final long INTERVAL_NANOS = 10_000_000L;
+    /** The highest delay that is recorded; a longer one is recorded as this. */
     private static final long MAX_DELAY_US = 59_000_000L;
+    /** The highest value that the histogram can hold. */
     private static final long HIGHEST_TRACKABLE_US = 60_000_000L;
     /** The number of significant decimal digits of recorded delays. */
     private static final int DIGITS = 3;
@@ -23,10 +25,10 @@
         this.testbed = testbed;
     }
 
-    /** Starts the measurement; called on the event loop. */
+    /** Starts the measurement, which begins 10 ms after the testbed's clock reads zero. Called on the event loop. */
     void start() {
         running = true;
-        measure(INTERVAL_NANOS);
+        scheduleMeasurement(INTERVAL_NANOS);
     }
 
     /** Ends the measurement; may be called from any thread. */
@@ -34,12 +36,12 @@
         running = false;
     }
 
-    private void measure(long due) {
+    private void scheduleMeasurement(long due) {
         testbed.at(due, () -> {
             long delayUs = (testbed.now() - due) / 1000;
             delays.recordValue(Math.max(0, Math.min(MAX_DELAY_US, delayUs)));
             if (running) {
-                measure(Math.max(due + INTERVAL_NANOS, testbed.now()));
+                scheduleMeasurement(Math.max(due + INTERVAL_NANOS, testbed.now()));
             }
         });
     }
--- a/lab/src/main/java/gorsestack/lab/standin/CapacityModel.java
+++ b/lab/src/main/java/gorsestack/lab/standin/CapacityModel.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * Models the capacity of an upstream: slots that process jobs, a queue of jobs, a speed that grows during the slow start, and the load that
- * overloads the upstream during the slow start. It does no I/O and reads the time from a {@link Timer}. Used by {@link Upstream} and its
- * connections on the event loop.
+ * Models the capacity of an upstream: slots that process jobs, a queue for the jobs that wait for a slot, and a speed that grows during the
+ * slow start. Reports an overload if too much work is offered during the slow start. It does no I/O and reads the time from a {@link
+ * Timer}. Used by {@link Upstream} and its connections on the event loop.
  */
 public final class CapacityModel {
     /** A clock that also schedules tasks. */
@@ -21,9 +21,16 @@
     }
 
     /**
-     * The parameters of an upstream. Its speed is the milliseconds of work that a slot does in a millisecond. During the slow start, its
-     * capacity grows linearly from the initial fraction to the full capacity. During this time it is overloaded if the work offered within
-     * the overload window exceeds the capacity within the window multiplied by the overload factor.
+     * The parameters of an upstream. Its capacity grows linearly during the slow start. During this time it is overloaded if the work
+     * offered within the overload window exceeds a multiple of the work that it could do in a whole window at its present capacity.
+     *
+     * @param speed milliseconds of work that a slot does in a millisecond at full capacity
+     * @param slots number of jobs that are processed at the same time
+     * @param maxQueue maximum number of jobs that wait for a slot
+     * @param slowStartSeconds duration of the slow start
+     * @param initialCapacity fraction of the full capacity that is available when the upstream starts
+     * @param overloadWindowSeconds length of the overload window
+     * @param overloadFactor multiple of the capacity above which the offered work is an overload
      */
     public record Settings(
             double speed,
@@ -34,33 +41,38 @@
             double overloadWindowSeconds,
             double overloadFactor) {}
 
-    /** An overload during the slow start: the work offered and the capacity within the overload window, in milliseconds of work. */
+    /**
+     * An overload during the slow start.
+     *
+     * @param offeredMs work that was offered within the overload window, in milliseconds of work
+     * @param capacityMs work that the present capacity does in a whole overload window, in milliseconds of work
+     */
     public record Overload(double offeredMs, double capacityMs) {}
 
     /** The work of one request, which occupies a slot or waits in the queue. */
     public static final class Job {
         private final Consumer<Job> onDone;
         /** The work in milliseconds at a speed of 1. */
-        private final double work;
+        private final double workMs;
 
         private Runnable cancelTimer = () -> {};
-        private boolean running;
-        /** Continues the job when the upstream no longer hangs; null if the job is not paused. */
+        private boolean started;
+        /** Begins or completes work that had to wait for the end of a hang; null if there is none. */
         private Runnable resume;
 
-        Job(double work, Consumer<Job> onDone) {
-            this.work = work;
+        Job(double workMs, Consumer<Job> onDone) {
+            this.workMs = workMs;
             this.onDone = onDone;
         }
 
-        /** Returns whether the job has had a slot, which remains true after its release. */
+        /** Returns whether the job has ever been given a slot; remains true after its release. */
         public boolean running() {
-            return running;
+            return started;
         }
     }
 
     /** Work that arrived at a time, whether it was accepted or not. */
-    private record OfferedWork(long offeredAt, double work) {}
+    private record OfferedWork(long offeredAt, double workMs) {}
 
     private static final double NANOS_PER_MS = 1e6;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -74,13 +86,18 @@
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private final ArrayDeque<OfferedWork> offered = new ArrayDeque<>();
     /** The sum of the offered work within the overload window, in milliseconds. */
-    private double offeredWork;
+    private double offeredWorkMs;
 
     private long startedAt;
     private double slowdown = 1;
     private boolean hanging;
 
-    /** Creates the model of an upstream that starts now, or, if it is warm, of one whose slow start is over. */
+    /**
+     * Creates the model of an upstream.
+     *
+     * @param warm whether the slow start is already over; otherwise it begins now
+     * @param onOverload called for each job that is offered while the upstream is overloaded
+     */
     public CapacityModel(Timer timer, Settings settings, boolean warm, Consumer<Overload> onOverload) {
         this.timer = timer;
         this.settings = settings;
@@ -103,12 +120,15 @@
         return running.size() + queue.size();
     }
 
-    /** Multiplies the duration of all work that starts from now on by a factor. */
+    /** Sets the factor by which the duration of all work that begins from now on is multiplied. */
     public void setSlowdown(double factor) {
         slowdown = factor;
     }
 
-    /** Pauses all work, or resumes it. */
+    /**
+     * Begins or ends a hang. While it lasts, no work begins and none completes. The time of a hang counts for work in progress, which
+     * completes when the hang ends if it would have completed during it.
+     */
     public void setHanging(boolean hang) {
         hanging = hang;
         if (!hang) {
@@ -122,10 +142,13 @@
         }
     }
 
-    /** Accepts a job, or returns null if the queue is full. The job keeps its slot when its work is done, until it is released. */
-    public Job accept(double work, Consumer<Job> onDone) {
-        recordOfferedWork(work);
-        Job job = new Job(work, onDone);
+    /**
+     * Gives a job a slot or, if all are taken, a place in the queue. Returns null if the queue is full too; the work counts as offered all
+     * the same. Calls {@code onDone} when the work is done; the job then keeps its slot until it is released.
+     */
+    public Job accept(double workMs, Consumer<Job> onDone) {
+        recordOfferedWork(workMs);
+        Job job = new Job(workMs, onDone);
         if (running.size() < settings.slots) {
             start(job);
             return job;
@@ -137,31 +160,31 @@
         return null;
     }
 
-    private void recordOfferedWork(double work) {
+    private void recordOfferedWork(double workMs) {
         long now = timer.now();
-        offered.add(new OfferedWork(now, work));
-        offeredWork += work;
+        offered.add(new OfferedWork(now, workMs));
+        offeredWorkMs += workMs;
         while (offered.peek().offeredAt <= now - windowNanos) {
-            offeredWork -= offered.poll().work;
+            offeredWorkMs -= offered.poll().workMs;
         }
         double capacity = settings.slots * settings.speed * availableFraction() * windowNanos / NANOS_PER_MS;
-        if (availableFraction() < 1 && offeredWork > settings.overloadFactor * capacity) {
-            onOverload.accept(new Overload(offeredWork, capacity));
+        if (availableFraction() < 1 && offeredWorkMs > settings.overloadFactor * capacity) {
+            onOverload.accept(new Overload(offeredWorkMs, capacity));
         }
     }
 
     private void start(Job job) {
-        job.running = true;
+        job.started = true;
         running.add(job);
-        process(job, job.work, job.onDone);
+        process(job, job.workMs, job.onDone);
     }
 
-    private void process(Job job, double work, Consumer<Job> onDone) {
+    private void process(Job job, double workMs, Consumer<Job> onDone) {
         if (hanging) {
-            job.resume = () -> process(job, work, onDone);
+            job.resume = () -> process(job, workMs, onDone);
             return;
         }
-        long duration = (long) (work * NANOS_PER_MS * slowdown / (settings.speed * availableFraction()));
+        long duration = (long) (workMs * NANOS_PER_MS * slowdown / (settings.speed * availableFraction()));
         job.cancelTimer = timer.after(duration, () -> {
             if (hanging) {
                 job.resume = () -> onDone.accept(job);
@@ -172,13 +195,13 @@
     }
 
     /** Does more work in the slot of a job; does nothing if the job no longer has one. */
-    public void addWork(Job job, double work, Consumer<Job> onDone) {
+    public void addWork(Job job, double workMs, Consumer<Job> onDone) {
         if (running.contains(job)) {
-            process(job, work, onDone);
+            process(job, workMs, onDone);
         }
     }
 
-    /** Frees the slot of a job, or removes the job from the queue. */
+    /** Cancels the work of a job. Frees its slot for the next job in the queue, or removes it from the queue. */
     public void release(Job job) {
         job.cancelTimer.run();
         if (running.remove(job)) {
@@ -189,7 +212,7 @@
         queue.remove(job);
     }
 
-    /** Drops all jobs without finishing them. */
+    /** Drops all jobs without finishing them, and forgets the offered work. */
     public void crash() {
         running.forEach(job -> job.cancelTimer.run());
         running.clear();
@@ -199,16 +222,18 @@
 
     private void forgetOfferedWork() {
         offered.clear();
-        offeredWork = 0;
+        offeredWorkMs = 0;
     }
 
-    /** Adjusts the stored times when the clock is set back by a number of nanoseconds. */
+    /**
+     * Moves the start time when the clock is set back by a number of nanoseconds, so that the slow start goes on. Forgets the offered work.
+     */
     void shiftClock(long setBack) {
         startedAt -= setBack;
         forgetOfferedWork();
     }
 
-    /** Restarts the upstream with a slow start, and ends its slowdown and its hanging. */
+    /** Restarts the upstream without jobs and with a slow start, and ends its slowdown and its hang. */
     public void restart() {
         crash();
         startedAt = timer.now();
--- a/lab/src/main/java/gorsestack/lab/standin/ResponseFaults.java
+++ b/lab/src/main/java/gorsestack/lab/standin/ResponseFaults.java
@@ -5,15 +5,16 @@
 import java.util.SplittableRandom;
 
 /**
- * The fractions of an upstream's responses that are currently faulty. Draws a random number for each response to decide whether it is
- * faulty. Confined to the event loop.
+ * The fractions of an upstream's requests and responses that are currently affected by faults. {@link Upstream} sets them, and its
+ * connections draw a random number for each kind of fault that they consider: for errors when a request arrives, for the others when it
+ * has been processed. An anomaly with the fraction 0 draws no random number. Confined to the event loop.
  */
 final class ResponseFaults {
     private final SplittableRandom random;
     private final Map<ResponseAnomaly, Double> anomalyFractions = new EnumMap<>(ResponseAnomaly.class);
     private double errorFraction;
     private double malformedFraction;
-    private double lostFraction;
+    private double lostResponseFraction;
 
     ResponseFaults(SplittableRandom random) {
         this.random = random;
@@ -27,8 +28,8 @@
         malformedFraction = fraction;
     }
 
-    void setLost(double fraction) {
-        lostFraction = fraction;
+    void setLostResponses(double fraction) {
+        lostResponseFraction = fraction;
     }
 
     void setAnomaly(ResponseAnomaly anomaly, double fraction) {
@@ -43,8 +44,8 @@
         return random.nextDouble() < malformedFraction;
     }
 
-    boolean drawLost() {
-        return random.nextDouble() < lostFraction;
+    boolean drawLostResponse() {
+        return random.nextDouble() < lostResponseFraction;
     }
 
     boolean draw(ResponseAnomaly anomaly) {
--- a/lab/src/main/java/gorsestack/lab/standin/Upstream.java
+++ b/lab/src/main/java/gorsestack/lab/standin/Upstream.java
@@ -167,7 +167,7 @@
         draining = true;
     }
 
-    /** Pauses all work without closing connections, or resumes it. */
+    /** Begins or ends a hang. While it lasts, no work begins or completes, but connections stay open. */
     public void setHanging(boolean hanging) {
         capacity.setHanging(hanging);
     }
@@ -189,7 +189,7 @@
 
     /** Sets the fraction of the requests that are executed without a response. */
     public void setLostResponses(double fraction) {
-        faults.setLost(fraction);
+        faults.setLostResponses(fraction);
     }
 
     /** Sets the fraction of the responses that have an anomaly. */
--- a/lab/src/main/java/gorsestack/lab/standin/UpstreamConnection.java
+++ b/lab/src/main/java/gorsestack/lab/standin/UpstreamConnection.java
@@ -168,7 +168,7 @@
             return;
         }
         attemptInProgress = null;
-        if (upstream.faults.drawLost()) {
+        if (upstream.faults.drawLostResponse()) {
             record(attempt, "answer lost", true, Records.NEVER);
         } else if (upstream.faults.drawMalformed()) {
             record(attempt, "spoilt", true, Records.NEVER);
--- a/lab/src/test/java/gorsestack/lab/standin/CapacityModelTest.java
+++ b/lab/src/test/java/gorsestack/lab/standin/CapacityModelTest.java
@@ -52,12 +52,12 @@
     private final List<Long> endTimes = new ArrayList<>();
     private final List<CapacityModel.Overload> overloads = new ArrayList<>();
 
-    private CapacityModel model(int slots, int queue, boolean warm) {
+    private CapacityModel model(int slots, int maxQueue, boolean warm) {
         return new CapacityModel(
-                clock, new CapacityModel.Settings(1, slots, queue, 10, 0.2, 1, 2.5), warm, overloads::add);
+                clock, new CapacityModel.Settings(1, slots, maxQueue, 10, 0.2, 1, 2.5), warm, overloads::add);
     }
 
-    private CapacityModel.Job arrive(CapacityModel model, double work) {
+    private CapacityModel.Job offer(CapacityModel model, double work) {
         return model.accept(work, job -> {
             endTimes.add(clock.now() / MS);
             model.release(job);
@@ -67,10 +67,10 @@
     @Test
     void rejectsJobsWhenSlotsAndQueueAreFull() {
         CapacityModel model = model(2, 1, true);
-        assertNotNull(arrive(model, 10));
-        assertNotNull(arrive(model, 20));
-        assertNotNull(arrive(model, 10));
-        assertNull(arrive(model, 10));
+        assertNotNull(offer(model, 10));
+        assertNotNull(offer(model, 20));
+        assertNotNull(offer(model, 10));
+        assertNull(offer(model, 10));
         clock.advance(100);
         assertEquals(List.of(10L, 20L, 20L), endTimes);
     }
@@ -78,22 +78,23 @@
     @Test
     void isSlowerAndCanBeOverloadedDuringSlowStart() {
         CapacityModel model = model(1, 100, false);
-        arrive(model, 10);
+        offer(model, 10);
         clock.advance(100);
         assertEquals(List.of(50L), endTimes);
-        // The capacity in the first second is a fifth of a second of work, and an overload is 2.5 times as much.
+        // At 100 ms the capacity is 208 ms of work in a second, so more than 2.5 times that, 520 ms, is an overload.
+        // 490 ms of work are offered.
         for (int i = 0; i < 48; i++) {
-            arrive(model, 10);
+            offer(model, 10);
         }
         assertEquals(0, overloads.size());
         for (int i = 0; i < 10; i++) {
-            arrive(model, 10);
+            offer(model, 10);
         }
         assertEquals(true, overloads.size() > 0);
         clock.advance(20_000);
         overloads.clear();
         for (int i = 0; i < 100; i++) {
-            arrive(model, 10);
+            offer(model, 10);
         }
         assertEquals(0, overloads.size(), "after the slow start, excess jobs wait and are no overload");
     }
@@ -101,9 +102,9 @@
     @Test
     void releasedJobsDoNotDelayOthersWhetherWaitingOrRunning() {
         CapacityModel model = model(1, 5, true);
-        CapacityModel.Job first = arrive(model, 10);
-        CapacityModel.Job second = arrive(model, 10);
-        arrive(model, 10);
+        CapacityModel.Job first = offer(model, 10);
+        CapacityModel.Job second = offer(model, 10);
+        offer(model, 10);
         model.release(second);
         clock.advance(5);
         model.release(first);
@@ -113,12 +114,12 @@
     }
 
     @Test
-    void pausesJobsWhileHanging() {
+    void completesNoJobWhileHanging() {
         CapacityModel model = model(2, 5, true);
-        arrive(model, 10);
+        offer(model, 10);
         clock.advance(5);
         model.setHanging(true);
-        arrive(model, 10);
+        offer(model, 10);
         clock.advance(1000);
         assertEquals(List.of(), endTimes);
         model.setHanging(false);
