--- a/lab/src/main/java/gorsestack/lab/report/RunResult.java
+++ b/lab/src/main/java/gorsestack/lab/report/RunResult.java
@@ -21,8 +21,8 @@
 import java.util.Set;
 
 /**
- * The result of a run, as stored in result.json; docs/lab.md describes its keys. It depends only on the records and the context of the
- * run, so that a stored run can be verified again.
+ * The result of a run, as stored in result.json; docs/lab.md describes its keys. It depends only on the scenario, the records and
+ * the context of the run, so that a stored run can be verified again.
  */
 public record RunResult(
         int schema,
--- a/lab/src/main/java/gorsestack/lab/run/ScenarioRun.java
+++ b/lab/src/main/java/gorsestack/lab/run/ScenarioRun.java
@@ -63,7 +63,7 @@
             PrintStream progress) {}
 
     private static final long POLL_INTERVAL_MS = 50;
-    /** How long the run waits for calls in progress after the settle time of the scenario, in seconds. */
+    /** How long the run waits for calls in progress in addition to the completion timeout of the scenario, in seconds. */
     private static final double OPEN_CALLS_GRACE_SECONDS = 4;
 
     private static final int PROGRESS_INTERVAL_SECONDS = 5;
--- a/lab/src/main/java/gorsestack/lab/scenario/FaultKinds.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/FaultKinds.java
@@ -35,7 +35,7 @@
             "discovery_moves");
     /** Bursts of calls, and clients that misbehave. */
     static final Set<String> LOAD = Set.of("burst", "rude");
-    /** Faults of the operating system under a balancer, which need the preloaded shim library. */
+    /** Faults of the operating system under a balancer, which have no effect without the preloaded shim library. */
     static final Set<String> SYSTEM = Set.of("clock", "calls");
 
     /** Faults that happen at one point in time and have no duration. */
--- a/lab/src/main/java/gorsestack/lab/scenario/Scenario.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/Scenario.java
@@ -144,7 +144,7 @@
     /**
      * One fault to inject, either at a time or when a line of a balancer's log matches a pattern.
      *
-     * @param at time of the fault or, if a log line triggers it, time from which the log is watched
+     * @param at time of the fault or, if a log line triggers it, time from which the log is watched; earlier lines trigger it too
      * @param triggerBalancer balancer whose log triggers the fault, or empty
      * @param triggerPattern pattern of the log line that triggers the fault, or empty
      * @param from expression that selects the parties on which the fault acts, or empty
--- a/lab/src/main/java/gorsestack/lab/shim/Shim.java
+++ b/lab/src/main/java/gorsestack/lab/shim/Shim.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * Injects faults of the operating system into single processes, for runs and for the soak. Each process is started with a preloaded
- * library, which this class compiles. The library maps a control file, which lies next to the log of the process, and which contains the
+ * Injects faults of the operating system into single processes. The soak compiles the library with this class and starts each process with
+ * it preloaded. In a run whose command does not preload the library, the faults have no effect. The library maps a control file, which lies next to the log of the process, and which contains the
  * offset of the wall clock and the calls that fail. Available only where a C compiler is installed. Immutable.
  */
 public final class Shim {
@@ -87,7 +87,7 @@
         return "LD_PRELOAD=" + library + " " + command;
     }
 
-    /** Returns whether a call can be made to fail with an error. */
+    /** Returns whether the shim knows an error with which calls can fail. */
     public static boolean supportsError(String error) {
         return ERRORS.containsKey(error);
     }
--- a/lab/src/main/java/gorsestack/lab/soak/Soak.java
+++ b/lab/src/main/java/gorsestack/lab/soak/Soak.java
@@ -58,7 +58,7 @@
 
     /**
      * Runs the schedule of a seed, and shrinks the schedule if it fails. Returns the outcome of the smallest schedule that has failed, or
-     * of the whole schedule if it passes.
+     * of the whole schedule if it passes or the plan excludes shrinking.
      */
     public Outcome run(long seed) throws IOException, InterruptedException, InvalidScenarioException {
         Outcome outcome = run(Schedule.of(seed, plan.balancers, plan.recoverySeconds), "");
--- a/lab/src/main/java/gorsestack/lab/standin/BalancerClient.java
+++ b/lab/src/main/java/gorsestack/lab/standin/BalancerClient.java
@@ -68,7 +68,10 @@
         testbed.onClockShift(setBack -> idleConnections.forEach(connection -> connection.idleSince -= setBack));
     }
 
-    /** Sends a request. The handler is called once, at the deadline at the latest. */
+    /**
+     * Sends a request. The handler is called once, at the deadline at the latest or, if a connection is still being opened then, when that
+     * attempt has ended.
+     */
     void call(FullHttpRequest request, String id, long deadline, Consumer<Response> handler) {
         while (!idleConnections.isEmpty() && idleConnections.peekFirst().idleSince < testbed.now() - MAX_IDLE_NANOS) {
             idleConnections.pollFirst().channel.close();
--- a/lab/src/main/java/gorsestack/lab/standin/Discovery.java
+++ b/lab/src/main/java/gorsestack/lab/standin/Discovery.java
@@ -74,7 +74,7 @@
     /** The delay of changes, in seconds. */
     private double propagationDelay;
 
-    /** Whether it receives requests but sends nothing. */
+    /** Whether requests are ignored and neither changes nor heartbeats are sent. */
     private boolean silent;
 
     private int generation;
@@ -197,7 +197,10 @@
         }
     }
 
-    /** Stops sending responses, changes and heartbeats, or sends them again. */
+    /**
+     * Begins or ends a silence. While it lasts, requests are ignored, and neither changes nor heartbeats are sent; these changes are not
+     * sent later to the watches of that time. Calls accepted before still get their responses.
+     */
     public void setSilent(boolean enabled) {
         silent = enabled;
     }
@@ -221,8 +224,8 @@
     }
 
     /**
-     * Moves to another address. The old one accepts no more connections. Its listeners are closed later, which resets the connections of
-     * their links.
+     * Moves to another address. The old one accepts no more connections. Its listeners are closed later, which resets all connections of
+     * their links, also those to the new address.
      */
     public void moveAddress() {
         List<FaultyListener> oldListeners = new ArrayList<>(listeners.values());
@@ -297,7 +300,8 @@
         }
 
         /**
-         * Starts a watch. First sends all changes after an index, or the whole list if some of them are unknown, and then each new change.
+         * Starts a watch. First sends all changes after an index, or the whole list if the index is 0 or not one whose later changes are all
+         * known, and then each new change.
          */
         private void startWatch(long afterIndex) {
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
--- a/lab/src/main/java/gorsestack/lab/verify/Calls.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Calls.java
@@ -100,7 +100,7 @@
         return possible == 0 ? 1 : earned / possible;
     }
 
-    /** Returns a percentile of the latency of served calls, in milliseconds from the intended time to the end of the final try. */
+    /** Returns a percentile of the latency of served calls, in ms from the intended time to the end of the final try; 0 if none was served. */
     public static double latencyPercentileMs(List<Call> calls, double percentile) {
         Histogram histogram = new Histogram(MAX_LATENCY_US, LATENCY_DIGITS);
         calls.stream()
--- a/lab/src/main/java/gorsestack/lab/verify/RecoveryMetrics.java
+++ b/lab/src/main/java/gorsestack/lab/verify/RecoveryMetrics.java
@@ -117,7 +117,7 @@
                 : servedFraction(intended -> intended >= from && intended < from + REFERENCE_NANOS) / before;
     }
 
-    /** Returns the seconds from when the last process that started after the fault was ready until full service. */
+    /** Returns the seconds from when a process last became ready after the fault until full service; 0 if service was full before. */
     double timeToFullServiceAfterStart() {
         long lastReady = records.processEvents.stream()
                 .filter(event -> event.event().equals("ready") && event.at() >= faultAt)
--- a/lab/src/main/java/gorsestack/lab/verify/ResponseRule.java
+++ b/lab/src/main/java/gorsestack/lab/verify/ResponseRule.java
@@ -26,7 +26,10 @@
         this.violations = violations;
     }
 
-    /** Returns how many requests got no correct response in time although their balancer was responsible for one. */
+    /**
+     * Returns the number of cases in which a balancer owed a correct response in time and did not send it, including those of misbehaving
+     * clients. A response that is both late and incorrect counts twice.
+     */
     int lostCalls() {
         return lostCalls;
     }
--- a/lab/src/main/java/gorsestack/lab/verify/Verifier.java
+++ b/lab/src/main/java/gorsestack/lab/verify/Verifier.java
@@ -76,7 +76,10 @@
         return violations;
     }
 
-    /** Returns the number of requests that got no correct response in time. */
+    /**
+     * Returns the number of cases in which a balancer owed a correct response in time and did not send it, including those of misbehaving
+     * clients. A response that is both late and incorrect counts twice.
+     */
     public int lostCalls() {
         return responses.lostCalls();
     }
