--- a/lab/src/main/java/gorsestack/lab/cli/ResultPrinter.java
+++ b/lab/src/main/java/gorsestack/lab/cli/ResultPrinter.java
@@ -13,7 +13,7 @@
     static void print(RunResult result, Path folder) {
         Map<String, Double> metrics = result.metrics();
         System.out.printf(
-                "%s seed %d: served %.4f, worst second %.4f, rate-limited %.4f, errored %.4f, lost %d, full after %.1f s, "
+                "%s seed %d: served %.4f, worst second %.4f, rate-limited %.4f, errored %.4f, lost %d, full service after %.1f s, "
                         + "%.3f attempts a call, p99 %.0f ms, most list calls %d/s, new connections %d/s%n",
                 result.scenario(),
                 result.seed(),
