--- a/lab/src/main/java/gorsestack/lab/report/Charts.java
+++ b/lab/src/main/java/gorsestack/lab/report/Charts.java
@@ -85,7 +85,7 @@
         return charts;
     }
 
-    /** Writes a chart that compares the served fractions of several stored runs. */
+    /** Writes a chart that compares the served fractions of several stored runs. It marks the first fault of the first run that has one. */
     public static void writeServedChart(List<Path> runs, Path file) throws IOException, InvalidScenarioException {
         XYSeriesCollection data = new XYSeriesCollection();
         List<InjectedFault> faults = new ArrayList<>();
--- a/lab/src/main/java/gorsestack/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/ScenarioReader.java
@@ -17,8 +17,8 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * Reads and validates scenario files, for the commands of the lab and for the soak. Each error is one line with file, line and key. Has no
- * state.
+ * Reads and validates scenario files, for the commands of the lab and for the soak. Each error is one line that names
+ * the file, the line and, unless the file is not valid TOML, the key. Has no state.
  */
 public final class ScenarioReader {
     private static final int MAX_PROCESSES = 200;
