--- a/lab/src/main/java/gorsestack/lab/scenario/FaultKinds.java
+++ b/lab/src/main/java/gorsestack/lab/scenario/FaultKinds.java
@@ -38,7 +38,7 @@
     /** Faults of the operating system under a balancer, which have no effect without the preloaded shim library. */
     static final Set<String> SYSTEM = Set.of("clock", "calls");
 
-    /** Faults that happen at one point in time and have no duration. */
+    /** Faults for which a scenario gives no duration. */
     private static final Set<String> MOMENTARY = Set.of(
             "kill",
             "term",
--- a/lab/src/main/java/gorsestack/lab/verify/IndexedRecords.java
+++ b/lab/src/main/java/gorsestack/lab/verify/IndexedRecords.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The records of a run, indexed for the rule checks of {@link Verifier}; immutable once built. */
+/** The complete records of a run, indexed for the rule checks of {@link Verifier}; the records must not change afterwards. */
 final class IndexedRecords {
     /** The tolerance of all time limits in nanoseconds, which covers the delays of sockets. */
     static final long TOLERANCE_NANOS = 50_000_000L;
--- a/lab/src/main/java/gorsestack/lab/verify/PeakMetrics.java
+++ b/lab/src/main/java/gorsestack/lab/verify/PeakMetrics.java
@@ -28,7 +28,10 @@
         this.periods = periods;
     }
 
-    /** Returns the largest number of events within any interval of one second; the times must be sorted. */
+    /**
+     * Returns the largest number of events from {@code from} and before {@code until} within any interval of one second; the times must be
+     * sorted.
+     */
     static double peak(long[] times, long from, long until) {
         int peak = 0;
         int first = 0;
@@ -48,7 +51,7 @@
         return peak(times, periods.from(period), periods.until(period));
     }
 
-    /** Returns the ratio of the peak after the fault to the peak before it, which counts as at least 1. */
+    /** Returns the ratio of the peak from the fault until the end of the run to the peak before the fault, which counts as at least 1. */
     private double peakOverSteady(long[] times) {
         return peak(times, periods.faultAt(), periods.end()) / Math.max(1, peak(times, 0, periods.faultAt()));
     }
@@ -91,8 +94,8 @@
     }
 
     /**
-     * Returns when connections were opened that are not the first one between their balancer and upstream since either started. The first
-     * one is excluded because it is inevitable after a restart.
+     * Returns when connections were opened that are not the first one between their balancer and upstream since the balancer started or the
+     * upstream's status last changed. The first one is excluded because it is inevitable after such an event.
      */
     private long[] furtherConnectionTimes() {
         Map<Integer, List<Long>> balancerStarts = new HashMap<>();
@@ -121,7 +124,10 @@
                 .toArray();
     }
 
-    /** Returns the ratio of the highest rate of attempts at a single upstream after the fault to the highest one before it. */
+    /**
+     * Returns the ratio of the highest rate of attempts at a single upstream, from the fault until the end of the run, to the highest one
+     * before the fault, which counts as at least 1.
+     */
     double attemptsOverSteady() {
         Map<Integer, List<Long>> timesByUpstream = new TreeMap<>();
         records.upstreamAttempts.forEach(attempt -> timesByUpstream
--- a/lab/src/main/java/gorsestack/lab/verify/RunMetrics.java
+++ b/lab/src/main/java/gorsestack/lab/verify/RunMetrics.java
@@ -128,9 +128,9 @@
         return samples == 0 ? 0 : records.secondSamples.get(samples - 1).datagrams() / scenario.seconds();
     }
 
-    private double countEvents(Predicate<String> event) {
+    private double countEvents(Predicate<String> matches) {
         return records.processEvents.stream()
-                .filter(processEvent -> event.test(processEvent.event()))
+                .filter(processEvent -> matches.test(processEvent.event()))
                 .count();
     }
 }
