--- a/lab/src/main/java/gorsestack/lab/cli/RunCommand.java
+++ b/lab/src/main/java/gorsestack/lab/cli/RunCommand.java
@@ -23,8 +23,8 @@
         description = "Runs a scenario once for each seed. The last line is the verdict:"
                 + " PASS (exit code 0), FAIL (1) or VOID (3).")
 public final class RunCommand implements Callable<Integer> {
-    private static final int PASSED = 0;
-    private static final int FAILED = 1;
+    private static final int EXIT_PASS = 0;
+    private static final int EXIT_FAIL = 1;
 
     @Parameters(paramLabel = "SCENARIO", description = "the name of a built-in scenario, or a file")
     private String scenarioName;
@@ -78,11 +78,15 @@
 
     /** Returns the worse of two results: of two failures or two void runs the earlier one, and of two passes the later one. */
     private static RunResult worse(RunResult earlier, RunResult later) {
-        boolean replaced = earlier.exitCode() == PASSED || (later.exitCode() == FAILED && earlier.exitCode() != FAILED);
+        boolean replaced =
+                earlier.exitCode() == EXIT_PASS || (later.exitCode() == EXIT_FAIL && earlier.exitCode() != EXIT_FAIL);
         return replaced ? later : earlier;
     }
 
-    /** Deletes the folder of an earlier run; fails if the folder has other content, to protect files that are not the lab's. */
+    /**
+     * Deletes a folder, with all its content, if it is empty or has a scenario file, which marks the folder of an earlier run. Fails for any
+     * other folder, to protect files that are not the lab's.
+     */
     private static void clear(Path folder) throws IOException {
         if (!Files.exists(folder)) {
             return;
--- a/lab/src/main/java/gorsestack/lab/report/RunResult.java
+++ b/lab/src/main/java/gorsestack/lab/report/RunResult.java
@@ -90,7 +90,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** The metrics that are computed for the whole run only, in addition to those whose names end with steady. */
-    private static final Set<String> RUN_METRICS = Set.of(
+    private static final Set<String> WHOLE_RUN_ONLY = Set.of(
             "time_to_full_s",
             "regained",
             "start_s",
@@ -143,7 +143,7 @@
         for (Period period : Period.values()) {
             String suffix = period == Period.ALL ? "" : "." + period.key();
             for (String metric : ScenarioReader.METRICS) {
-                boolean runOnly = metric.endsWith("steady") || RUN_METRICS.contains(metric);
+                boolean runOnly = metric.endsWith("steady") || WHOLE_RUN_ONLY.contains(metric);
                 if (period == Period.ALL || !runOnly) {
                     metrics.put(metric + suffix, round(runMetrics.get(metric, period)));
                 }
@@ -222,7 +222,7 @@
         Scenario scenario = ScenarioReader.read(scenarioFile.toString(), Files.readString(scenarioFile));
         Records records = Records.read(folder.resolve(RECORDS_FILE));
         boolean failedToStart = stored.reason.startsWith("start:");
-        boolean voidWithoutRecord = stored.verdict.equals(VOID) && records.loopDelays.isEmpty();
+        boolean voidWithoutLoopDelay = stored.verdict.equals(VOID) && records.loopDelays.isEmpty();
         return of(
                 scenario,
                 records,
@@ -232,6 +232,6 @@
                         stored.startedAt,
                         stored.machine,
                         failedToStart ? stored.reason : null,
-                        voidWithoutRecord ? stored.reason : null));
+                        voidWithoutLoopDelay ? stored.reason : null));
     }
 }
--- a/lab/src/main/java/gorsestack/lab/run/FaultInjector.java
+++ b/lab/src/main/java/gorsestack/lab/run/FaultInjector.java
@@ -25,19 +25,20 @@
 import java.util.regex.Pattern;
 
 /**
- * Injects the faults of a scenario, each at its time or once a line in a balancer's log matches its pattern, and ends them.
- * {@link ScenarioRun} creates an injector when the load starts. Confined to the event loop.
+ * Injects the faults of a scenario and ends them. A fault begins at its time or, if it has a pattern, once from that time on a line in a
+ * balancer's log matches the pattern, even if the line is older. {@link ScenarioRun} creates an injector when the load starts. Confined to
+ * the event loop.
  */
 final class FaultInjector {
     private static final long LOG_POLL_INTERVAL_NANOS = 20_000_000L;
 
-    /** Begins and ends one kind of fault. */
+    /** Begins one kind of fault and, if it has a duration, schedules its end. */
     private interface Injection {
-        /** Begins a fault of the selected parties and schedules its end; returns the affected parties or links. */
+        /** Begins a fault of the selected parties and, if it has a duration, schedules its end; returns the affected parties or links. */
         Set<String> inject(Fault fault, Set<String> selected);
     }
 
-    /** Begins and ends one kind of fault of balancers or upstreams, which are given by their numbers. */
+    /** Begins one kind of fault of numbered balancers or upstreams and, if it has a duration, schedules its end. */
     private interface NumberedInjection {
         void inject(Fault fault, List<Integer> numbers);
     }
@@ -77,7 +78,7 @@
         registerProcessFaults();
         registerSystemFaults();
         registerUpstreamFaults();
-        registerClientFaults();
+        registerLoadFaults();
         registerDiscoveryFaults();
     }
 
@@ -202,7 +203,7 @@
                         () -> numbers.forEach(number -> setting.accept(upstreams.all.get(number), normalValue))));
     }
 
-    private void registerClientFaults() {
+    private void registerLoadFaults() {
         register(
                 "rude",
                 (fault, balancers) -> forDuration(
