--- a/lab/src/test/java/gorsestack/lab/verify/VerifierTest.java
+++ b/lab/src/test/java/gorsestack/lab/verify/VerifierTest.java
@@ -44,12 +44,11 @@
     private Path folder;
 
     @BeforeEach
-    void read() throws Exception {
+    void readScenario() throws Exception {
         scenario = ScenarioReader.read("judge", SCENARIO);
     }
 
-    private void clientRequest(
-            String id, String product, long startedAt, long endedAt, String outcome, boolean correct) {
+    private void clientRequest(String id, String product, long startMs, long endMs, String outcome, boolean correct) {
         records.clientRequests.add(new ClientRequest(
                 id,
                 records.clientRequests.size(),
@@ -57,10 +56,10 @@
                 product,
                 "a",
                 0,
-                startedAt * MS,
-                startedAt * MS,
+                startMs * MS,
+                startMs * MS,
                 3000 * MS,
-                endedAt * MS,
+                endMs * MS,
                 outcome,
                 true,
                 correct,
@@ -71,7 +70,7 @@
     }
 
     private void upstreamAttempt(
-            String id, String product, int upstream, long startedAt, String outcome, long respondedAt) {
+            String id, String product, int upstream, long startMs, String outcome, long responseMs) {
         String zone = upstream % 2 == 0 ? "a" : "b";
         records.upstreamAttempts.add(new UpstreamAttempt(
                 id,
@@ -82,11 +81,11 @@
                 zone,
                 0,
                 0,
-                startedAt * MS,
-                startedAt * MS,
+                startMs * MS,
+                startMs * MS,
                 outcome,
                 !outcome.equals("unprocessed"),
-                respondedAt < 0 ? Records.NEVER : respondedAt * MS));
+                responseMs < 0 ? Records.NEVER : responseMs * MS));
     }
 
     private String violatedRules() {
@@ -242,7 +241,7 @@
         return RunResult.of(scenario, records, new RunContext(1, "v", "t", Map.of(), null, null));
     }
 
-    /** Guards against a balancer that fails for delays of the lab, which on a busy machine look like its own. */
+    /** Guards against the verdict FAIL for delays of the lab, which on a busy machine look like delays of the balancer. */
     @Test
     void verdictIsVoidInsteadOfFailIfLabWasDelayed() {
         clientRequest("never", "read", 0, 3300, "timeout", false);
