--- a/lab/src/main/java/gorsestack/lab/cli/RunCommand.java
+++ b/lab/src/main/java/gorsestack/lab/cli/RunCommand.java
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Deletes a folder, with all its content, if it is empty or has a scenario file, which marks the folder of an earlier run. Fails for any
-     * other folder, to protect files that are not the lab's.
+     * Deletes a folder, with all its content, if it is empty or has a scenario file, which marks the folder of an earlier run. Fails for
+     * any other folder, to protect files that are not the lab's.
      */
     private static void clear(Path folder) throws IOException {
         if (!Files.exists(folder)) {
