--- a/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
+++ b/balancer/src/main/java/gorsestack/decision/BalancingPolicy.java
@@ -189,7 +189,7 @@
         CallAttempt last = call.lastAttempt();
         call.bodyIncomplete = false;
         call.deadline = deadlineAfter(remainingTime);
-        last.sentAt = now;
+        last.timedFrom = now;
         call.responseCheckAt = now + call.product.slo() / RESPONSE_CHECKS_PER_SLO;
         last.upstream.inFlight += call.attemptsInFlight;
         last.upstream.locality.concurrency.trackInFlight(now, call.product, call.attemptsInFlight);
@@ -341,8 +341,8 @@
         call.responseCheckAt = Long.MAX_VALUE;
         CallAttempt last = call.lastAttempt();
         outliers.ejectIfUnresponsive(last);
-        if (last.inFlight && last.upstream.reportedAt < last.sentAt) {
-            reports.onSilence(last.upstream, now - last.sentAt, now);
+        if (last.inFlight && last.upstream.reportedAt < last.timedFrom) {
+            reports.onSilence(last.upstream, now - last.timedFrom, now);
         }
     }
 
--- a/balancer/src/main/java/gorsestack/decision/OutlierDetector.java
+++ b/balancer/src/main/java/gorsestack/decision/OutlierDetector.java
@@ -58,7 +58,7 @@
      * the attempts time out.
      */
     void ejectIfUnresponsive(CallAttempt attempt) {
-        if (attempt.inFlight && attempt.upstream.lastResponseAt < attempt.sentAt) {
+        if (attempt.inFlight && attempt.upstream.lastResponseAt < attempt.timedFrom) {
             setEjected(attempt.upstream, true);
         }
     }
--- a/balancer/src/main/java/gorsestack/decision/RepeatSafety.java
+++ b/balancer/src/main/java/gorsestack/decision/RepeatSafety.java
@@ -16,7 +16,8 @@
         CallAttempt first = call.firstPossiblyExecutedAttempt();
         return first == null
                 || call.product.repeat() == Repeat.IDEMPOTENT
-                || (call.product.repeat() == Repeat.DEDUPLICATED && now - first.sentAt < call.product.repeatWindow());
+                || (call.product.repeat() == Repeat.DEDUPLICATED
+                        && now - first.timedFrom < call.product.repeatWindow());
     }
 
     /** Returns whether an attempt at this upstream is safe: a deduplicated call goes only where its repeat is recognized. */
