--- a/balancer/src/main/java/gorsestack/proxy/AttemptRunner.java
+++ b/balancer/src/main/java/gorsestack/proxy/AttemptRunner.java
@@ -30,11 +30,11 @@
     private final Invariants invariants;
     private final AttemptAuditor auditor;
     private final CallTrace trace;
-    private final LoadReport loadReports;
+    private final LoadReport loadReportParser;
     /** The attempts that were given to a connection and are not finished. */
     private final Set<UpstreamAttempt> inFlight = new LinkedHashSet<>();
 
-    private int attemptsNotSent;
+    private int attemptsWithoutConnection;
 
     // Each of the twelve parameters is a collaborator with a type of its own, and there is one caller.
     AttemptRunner(
@@ -49,7 +49,7 @@
             Invariants invariants,
             AttemptAuditor auditor,
             CallTrace trace,
-            LoadReport loadReports) {
+            LoadReport loadReportParser) {
         this.eventLoop = eventLoop;
         this.limits = limits;
         this.clock = clock;
@@ -61,7 +61,7 @@
         this.invariants = invariants;
         this.auditor = auditor;
         this.trace = trace;
-        this.loadReports = loadReports;
+        this.loadReportParser = loadReportParser;
     }
 
     /** Starts the call's next attempt, which times out after {@code timeout} nanoseconds. */
@@ -92,7 +92,7 @@
                 connection == null ? "none" : connection.connecting() ? "new" : "reused");
         if (connection == null) {
             invariants.rejected(RejectionReason.NO_CONNECTION);
-            attemptsNotSent++;
+            attemptsWithoutConnection++;
             eventLoop.execute(() -> attempt.ended(Outcome.NOT_SENT, null));
             return;
         }
@@ -134,8 +134,8 @@
     /** Cancels the attempt with this number. */
     void cancel(ActiveCall call, int number) {
         UpstreamAttempt attempt = call.attempts.get(number);
-        // Rule 1: the connection is given up at once; established in between, it would still send its request.
-        // The policy is notified once it has finished the current input.
+        // Rule 1: the attempt gives up its connection at once. If the connection were established before the policy
+        // is notified, the request would still be sent. The policy is notified once it has finished the current input.
         attempt.closeConnection();
         eventLoop.execute(() ->
                 attempt.ended(eventLoop.now() >= attempt.deadline() ? Outcome.TIMED_OUT : Outcome.CANCELLED, null));
@@ -171,7 +171,7 @@
 
     @Override
     public void onLoadReport(UpstreamAttempt attempt, String report) {
-        policy.onLoadReport(clock.tick(), attempt.upstream, loadReports.row(report));
+        policy.onLoadReport(clock.tick(), attempt.upstream, loadReportParser.row(report));
     }
 
     @Override
@@ -201,9 +201,9 @@
     }
 
     /** Returns the number of attempts for which no connection was available, and resets it. */
-    int getAndResetNotSentCount() {
-        int count = attemptsNotSent;
-        attemptsNotSent = 0;
+    int getAndResetWithoutConnectionCount() {
+        int count = attemptsWithoutConnection;
+        attemptsWithoutConnection = 0;
         return count;
     }
 }
--- a/balancer/src/main/java/gorsestack/proxy/CallDispatcher.java
+++ b/balancer/src/main/java/gorsestack/proxy/CallDispatcher.java
@@ -385,12 +385,12 @@
         eventLoop.at(eventLoop.now() + limits.call().sweepIntervalNanos(), this::sweep);
         pool.closeExpired();
         clients.sweep();
-        int attemptsNotSent = attempts.getAndResetNotSentCount();
-        if (attemptsNotSent + callsRejected > 0) {
+        int attemptsWithoutConnection = attempts.getAndResetWithoutConnectionCount();
+        if (attemptsWithoutConnection + callsRejected > 0) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "connections_exhausted attempts_not_sent={0} calls_rejected={1}",
-                    attemptsNotSent,
+                    attemptsWithoutConnection,
                     callsRejected);
             callsRejected = 0;
         }
