--- a/balancer/src/test/java/gorsestack/proxy/FakeSocket.java
+++ b/balancer/src/test/java/gorsestack/proxy/FakeSocket.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 
-/** The balancer's end of a connection, with the test acting as the peer. */
+/** The balancer's end of a connection, with the test acting as the other end. */
 final class FakeSocket extends FakeChannel {
     private final DispatcherRig rig;
     /** The address to which the balancer connects; null for an accepted connection. */
@@ -13,11 +13,11 @@
     /** The text that the balancer has written and the test has not taken yet. */
     String output = "";
 
-    boolean connected;
+    boolean wasEstablished;
     /** Whether writes are accepted without ever being reported as sent. */
     boolean stalled;
 
-    boolean readsPaused;
+    boolean readingSuspended;
     boolean discardsInput;
     long unsentBytes;
 
@@ -67,7 +67,7 @@
 
     @Override
     public void suspendReading(boolean suspended) {
-        readsPaused = suspended;
+        readingSuspended = suspended;
     }
 
     /** Returns whether this is a connection to an upstream, neither accepted from a client nor opened to discovery. */
@@ -78,7 +78,7 @@
     /** Establishes the connection; the handler is notified when the event loop runs. */
     void queueConnect() {
         open = true;
-        connected = true;
+        wasEstablished = true;
         eventLoop.execute(() -> handler.opened(this));
     }
 
--- a/balancer/src/test/java/gorsestack/proxy/LargeBodyTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/LargeBodyTest.java
@@ -27,7 +27,7 @@
         for (int i = 0; i < 40; i++) {
             FakeSocket client = rig.client();
             client.send(largeRequest("c" + i, 1_530_000, 70_000));
-            for (int more = 0; more < 60 && !client.readsPaused; more++) {
+            for (int more = 0; more < 60 && !client.readingSuspended; more++) {
                 client.send("x".repeat(16_000));
                 readAheadBytes += 16_000;
             }
@@ -45,17 +45,17 @@
         rig.connectsAtOnce = false;
         FakeSocket client = rig.client();
         client.send(largeRequest("c1", 1_530_000, 70_000));
-        assertFalse(client.readsPaused, "reading continues until the buffer is full, so a disconnect is detected");
+        assertFalse(client.readingSuspended, "reading continues until the buffer is full, so a disconnect is detected");
         client.send("x".repeat(970_000));
-        assertFalse(client.readsPaused);
+        assertFalse(client.readingSuspended);
         client.send("x".repeat(300_000));
-        assertTrue(client.readsPaused, "nothing more is read until the body is consumed");
+        assertTrue(client.readingSuspended, "nothing more is read until the body is consumed");
         rig.upstreamConnections().get(0).queueDisconnect();
         rig.runPending();
         FakeSocket retry = rig.lastUsed();
         assertEquals(2, rig.upstreamConnections().size(), "the buffered body is available to the retry");
         retry.connect();
-        assertFalse(client.readsPaused);
+        assertFalse(client.readingSuspended);
         assertTrue(
                 retry.output.contains("X-Time-Left: 2000000u\r\nContent-Length: 1530000\r\n\r\nxxx"),
                 retry.output.substring(0, 150));
@@ -63,15 +63,15 @@
         retry.stalled = true;
         client.send("x".repeat(30_000));
         client.send("x".repeat(10_000));
-        assertFalse(client.readsPaused);
+        assertFalse(client.readingSuspended);
         client.send("x".repeat(60_000));
-        assertTrue(client.readsPaused);
+        assertTrue(client.readingSuspended);
         int before = retry.output.length();
         retry.unsentBytes = 0;
         retry.stalled = false;
         rig.execute(retry.handler()::sent);
         rig.runPending();
-        assertFalse(client.readsPaused);
+        assertFalse(client.readingSuspended);
         assertEquals(before + 70_000, retry.output.length());
         for (int i = 0; i < 6; i++) {
             rig.advance(1_000); // longer than the client timeout, but the body makes progress
@@ -119,12 +119,12 @@
                 client.output.substring(0, 99));
         client.unsentBytes = 100_000;
         upstream.send("y".repeat(100_000));
-        assertTrue(upstream.readsPaused);
+        assertTrue(upstream.readingSuspended);
         rig.advance(3_000);
         client.unsentBytes = 0;
         rig.execute(client.handler()::sent);
         rig.runPending();
-        assertFalse(upstream.readsPaused);
+        assertFalse(upstream.readingSuspended);
         rig.advance(2_000); // a slow response, beyond the deadline
         upstream.send("y".repeat(290_000));
         assertTrue(client.output.endsWith("\r\n\r\n" + "y".repeat(400_000)));
--- a/balancer/src/test/java/gorsestack/proxy/PipeliningTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/PipeliningTest.java
@@ -20,7 +20,7 @@
         client.send(request("read", "c1") + request("read", "c2"));
         client.send(request("read", "c3").repeat(1_200));
         assertTrue(client.discardsInput, "the queue is bounded");
-        assertFalse(client.readsPaused, "reading continues, so a disconnect is detected");
+        assertFalse(client.readingSuspended, "reading continues, so a disconnect is detected");
         client.send(request("read", "c4"));
         rig.lastUsed().sendOk("1");
         assertTrue(client.output.endsWith("1"), client.output);
--- a/balancer/src/test/java/gorsestack/proxy/UpstreamConnectionPoolTest.java
+++ b/balancer/src/test/java/gorsestack/proxy/UpstreamConnectionPoolTest.java
@@ -26,7 +26,7 @@
         rig.connectsAtOnce = false;
         for (int i = 0; i < 40; i++) {
             rig.client().send(request("read", "w" + i)); // the responses earn the budget of one hedged request
-            if (!rig.lastUsed().connected) {
+            if (!rig.lastUsed().wasEstablished) {
                 rig.lastUsed().connect();
             }
             rig.lastUsed().sendOk("x");
@@ -34,7 +34,7 @@
         rig.upstreamConnections().stream().filter(socket -> socket != first).forEach(FakeSocket::queueDisconnect);
         rig.advance(610);
         FakeSocket hedge = rig.lastUsed();
-        assertFalse(hedge.connected, "the hedged request waits for its connection, which is not established");
+        assertFalse(hedge.wasEstablished, "the hedged request waits for its connection, which is not established");
         // The response and the connection arrive one after the other, before the event loop runs anything else.
         rig.execute(() -> first.handler()
                 .received(
