--- a/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
+++ b/balancer/src/main/java/gorsestack/proxy/UpstreamConnectionPool.java
@@ -43,8 +43,11 @@
 
     private final Set<String> inMaintenance = new HashSet<>();
     /** The time since which each upstream is known to accept no new requests; kept for a while after it left the list. */
-    private final Map<String, Long> drainingSince = new HashMap<>();
-    /** The upstreams whose idle and connecting connections are closed once the whole watch event is applied. */
+    private final Map<String, Long> noNewRequestsSince = new HashMap<>();
+    /**
+     * The upstreams whose idle connections are closed, and whose other connections take no new requests, once the whole watch event is
+     * applied.
+     */
     private final Set<String> toBeClosed = new LinkedHashSet<>();
 
     private final Set<UpstreamConnection> connections = new HashSet<>();
@@ -56,7 +59,7 @@
     /** The time until which connections are reused only for safely repeatable requests. */
     private long reuseQuarantineUntil;
 
-    private long lastDuplicateResponseAt = Long.MIN_VALUE / 2;
+    private long lastUnexpectedBytesAt = Long.MIN_VALUE / 2;
 
     UpstreamConnectionPool(Network network, Limits limits, EventLoop eventLoop, BufferBudget bufferBudget) {
         this.network = network;
@@ -107,11 +110,14 @@
                 .forEach(this::remove);
     }
 
-    /** Removes an upstream. Prevents a leak, as ids are always new, and the reuse of connections by another upstream at its address. */
+    /**
+     * Removes an upstream. Its state would otherwise leak, as ids are always new, and its connections would stay open to an address that
+     * may belong to another upstream by now.
+     */
     private void remove(String upstream) {
         addresses.remove(upstream);
         endpoints.remove(upstream);
-        drainingSince.putIfAbsent(upstream, eventLoop.now());
+        noNewRequestsSince.putIfAbsent(upstream, eventLoop.now());
         draining.remove(upstream);
         lastReceivedAt.remove(upstream);
         toBeClosed.add(upstream);
@@ -136,33 +142,33 @@
     private void setDraining(String upstream, boolean isDraining) {
         if (isDraining && draining.add(upstream)) {
             toBeClosed.add(upstream);
-            drainingSince.putIfAbsent(upstream, eventLoop.now());
+            noNewRequestsSince.putIfAbsent(upstream, eventLoop.now());
         } else if (!isDraining) {
             draining.remove(upstream);
-            clearDrainingSince(upstream);
+            clearNoNewRequestsSince(upstream);
         }
     }
 
     /** Puts an upstream into maintenance, or back into service, by an operator's order. */
     void setMaintenance(String upstream, boolean outOfService) {
         if (outOfService && inMaintenance.add(upstream)) {
-            drainingSince.putIfAbsent(upstream, eventLoop.now());
+            noNewRequestsSince.putIfAbsent(upstream, eventLoop.now());
             closeUnused(upstream);
         } else if (!outOfService) {
             inMaintenance.remove(upstream);
-            clearDrainingSince(upstream);
+            clearNoNewRequestsSince(upstream);
         }
     }
 
-    private void clearDrainingSince(String upstream) {
+    private void clearNoNewRequestsSince(String upstream) {
         if (!draining.contains(upstream) && !inMaintenance.contains(upstream)) {
-            drainingSince.remove(upstream);
+            noNewRequestsSince.remove(upstream);
         }
     }
 
     /** Returns since when the upstream is known to accept no new requests; Long.MAX_VALUE if it accepts them. */
     long drainingSince(String upstream) {
-        return drainingSince.getOrDefault(upstream, Long.MAX_VALUE);
+        return noNewRequestsSince.getOrDefault(upstream, Long.MAX_VALUE);
     }
 
     /** Returns the upstream's entry in the endpoint list, or null if it is not listed. */
@@ -184,15 +190,15 @@
      */
     UpstreamConnection take(String upstream, boolean safelyRepeatable) {
         long now = eventLoop.now();
-        ArrayDeque<UpstreamConnection> candidates = idle.getOrDefault(upstream, NONE);
+        ArrayDeque<UpstreamConnection> idleConnections = idle.getOrDefault(upstream, NONE);
         if (safelyRepeatable || now >= reuseQuarantineUntil) {
-            UpstreamConnection reused = takeIdle(candidates, now);
+            UpstreamConnection reused = takeIdle(idleConnections, now);
             if (reused != null) {
                 return reused;
             }
-        } else if (!candidates.isEmpty()) {
+        } else if (!idleConnections.isEmpty()) {
             // The new connection replaces an idle one, as an upstream accepts a limited number.
-            candidates.peekFirst().close();
+            idleConnections.peekFirst().close();
         }
         InetSocketAddress address = addresses.get(upstream);
         if (address == null || (connections.size() >= maxConnections && !closeLeastRecentlyUsed())) {
@@ -205,14 +211,14 @@
      * Removes and returns the most recently used connection that has been idle for the reuse delay, or null. Without the delay, a duplicate
      * of the previous response, which arrives right behind it, could be taken for the response to the next attempt.
      */
-    private UpstreamConnection takeIdle(ArrayDeque<UpstreamConnection> candidates, long now) {
-        boolean duplicatesSeen =
-                now - lastDuplicateResponseAt < limits.upstream().quarantineNanos();
+    private UpstreamConnection takeIdle(ArrayDeque<UpstreamConnection> idleConnections, long now) {
+        boolean unexpectedBytesSeen =
+                now - lastUnexpectedBytesAt < limits.upstream().quarantineNanos();
         long idleBefore = now
-                - (duplicatesSeen
+                - (unexpectedBytesSeen
                         ? limits.upstream().quarantineReuseDelayNanos()
                         : limits.upstream().reuseDelayNanos());
-        Iterator<UpstreamConnection> mostRecentFirst = candidates.descendingIterator();
+        Iterator<UpstreamConnection> mostRecentFirst = idleConnections.descendingIterator();
         while (mostRecentFirst.hasNext()) {
             UpstreamConnection connection = mostRecentFirst.next();
             if (connection.idleSince <= idleBefore) {
@@ -246,9 +252,9 @@
     @Override
     public void closed(UpstreamConnection connection) {
         connections.remove(connection);
-        ArrayDeque<UpstreamConnection> cached = idle.get(connection.upstream);
-        if (cached != null) {
-            cached.remove(connection);
+        ArrayDeque<UpstreamConnection> idleConnections = idle.get(connection.upstream);
+        if (idleConnections != null) {
+            idleConnections.remove(connection);
         }
     }
 
@@ -293,7 +299,7 @@
 
     @Override
     public void unexpectedBytes() {
-        lastDuplicateResponseAt = eventLoop.now();
+        lastUnexpectedBytesAt = eventLoop.now();
     }
 
     @Override
@@ -305,9 +311,9 @@
 
     /** Closes the upstream's idle connections. */
     void closeIdle(String upstream) {
-        ArrayDeque<UpstreamConnection> cached = idle.get(upstream);
-        if (cached != null) {
-            List.copyOf(cached).forEach(UpstreamConnection::close);
+        ArrayDeque<UpstreamConnection> idleConnections = idle.get(upstream);
+        if (idleConnections != null) {
+            List.copyOf(idleConnections).forEach(UpstreamConnection::close);
         }
     }
 
@@ -337,13 +343,13 @@
     /** Closes connections that have been idle for long, before the upstream does, and drops the state of upstreams removed long ago. */
     void closeExpired() {
         long removeBefore = eventLoop.now() - limits.shutdown().responseNanos();
-        drainingSince
+        noNewRequestsSince
                 .entrySet()
                 .removeIf(entry -> entry.getValue() < removeBefore && !addresses.containsKey(entry.getKey()));
         long idleBefore = eventLoop.now() - limits.upstream().idleTimeoutNanos();
-        for (ArrayDeque<UpstreamConnection> cached : idle.values()) {
-            while (!cached.isEmpty() && cached.peekFirst().idleSince < idleBefore) {
-                cached.peekFirst().close();
+        for (ArrayDeque<UpstreamConnection> idleConnections : idle.values()) {
+            while (!idleConnections.isEmpty() && idleConnections.peekFirst().idleSince < idleBefore) {
+                idleConnections.peekFirst().close();
             }
         }
     }
