--- a/balancer/src/main/java/gorsestack/decision/AdmissionControl.java
+++ b/balancer/src/main/java/gorsestack/decision/AdmissionControl.java
@@ -15,7 +15,10 @@
     private static final double VALUE_WEIGHT = 0.7;
     /** Factor by which the weight of the worst-served product in the optimization target reduces that fraction. */
     private static final double FAIRNESS_WEIGHT = 2.5;
-    /** Minimum limit of the own locality below which too few attempts are in flight to limit them, so that load reports decide instead. */
+    /**
+     * Smallest minimum limit of the own locality at which attempts in flight are counted. Below it they are too few to be counted, and
+     * load reports decide.
+     */
     private static final double MIN_LIMIT_TO_COUNT = 0.4;
     /** Lowest fraction of calls that load reports admit. If all were rejected, no report would arrive and all would stay rejected. */
     private static final double MIN_ADMITTED = 0.05;
@@ -64,7 +67,10 @@
         return admitsByLimit(locality.concurrency, call, now);
     }
 
-    /** Rejects a larger fraction the higher the locality's latency is; a product without value from half the latency limit on. */
+    /**
+     * Rejects a fraction of calls that grows as the locality's latency exceeds its limit. For a product without value, it begins at half
+     * the limit.
+     */
     private boolean admitsByReports(LocalityLoad load, Product product) {
         double latencyLimit = load.latencyLimit * (1 + product.billedValue() / bestValue) / 2;
         return sheddingDraw < Math.max(MIN_ADMITTED, 2 - load.latencyRatio / latencyLimit);
@@ -72,8 +78,9 @@
 
     /**
      * Compares the attempts in flight with a limit that is lower for products of less value and for calls with less remaining time, as a
-     * storm of retries that can hardly be in time would otherwise use it up. The mean over the last objective stays within the limit; the
-     * present number may exceed it by up to its square root, as it varies more at one of many balancers than the sum over all of them.
+     * storm of retries that can hardly be in time would otherwise use it up. The mean over the last latency objective stays within the
+     * limit. The present number may exceed the limit by up to the limit's square root, because at one of many balancers it varies more than
+     * the fleet's total does.
      */
     private boolean admitsByLimit(AdaptiveConcurrencyLimit concurrency, CallState call, long now) {
         concurrency.trackInFlight(now, call.product, 0);
--- a/balancer/src/main/java/gorsestack/decision/UpstreamSelector.java
+++ b/balancer/src/main/java/gorsestack/decision/UpstreamSelector.java
@@ -122,7 +122,7 @@
         for (Pass pass : passes()) {
             for (int i = 0; i < localities.length; i++) {
                 Locality locality = localities[(first + i) % localities.length];
-                UpstreamState found = rotate(locality, candidates(locality, pass, call, now), pass, call, now);
+                UpstreamState found = rotate(locality, candidateCount(locality, pass, call, now), pass, call, now);
                 if (found != null) {
                     return found;
                 }
@@ -156,7 +156,7 @@
      * subset in this balancer's own order, with one more member for every three calls a second, so that each member gets
      * another attempt, and returns a new report, within seconds.
      */
-    private int candidates(Locality locality, Pass pass, CallState call, long now) {
+    private int candidateCount(Locality locality, Pass pass, CallState call, long now) {
         boolean limited = !pass.ignoresLoad || settings.tier() == 0;
         if (limited && !admission.admits(locality, call, now)) {
             return 0;
@@ -169,17 +169,17 @@
     }
 
     /**
-     * Selects the next eligible member, so that members take attempts in proportion to their speed; null if none is
-     * eligible. Each visit adds half the member's speed to its credit, and a credit of 1 pays for an attempt: the
-     * fastest members take an attempt at every visit, the others skip some visits.
+     * Selects the next eligible member; null if none is eligible. Members take attempts in proportion to their speed up
+     * to a speed of 2, at which a member takes an attempt at every visit: each visit adds half the member's speed to its
+     * credit, and a credit of 1 pays for an attempt. Slower members skip some visits.
      */
-    private UpstreamState rotate(Locality locality, int candidates, Pass pass, CallState call, long now) {
+    private UpstreamState rotate(Locality locality, int candidateCount, Pass pass, CallState call, long now) {
         CallAttempt firstPossiblyExecuted = call.firstPossiblyExecutedAttempt();
-        double maxInFlight =
-                MAX_IN_FLIGHT_PER_MEAN * locality.concurrency.inFlight / Math.max(1, candidates) + MAX_IN_FLIGHT_OFFSET;
+        double maxInFlight = MAX_IN_FLIGHT_PER_MEAN * locality.concurrency.inFlight / Math.max(1, candidateCount)
+                + MAX_IN_FLIGHT_OFFSET;
         boolean anyEligible = false;
-        for (int k = 0; k < candidates || anyEligible; k++) {
-            UpstreamState upstream = locality.members[(locality.rotationCursor + k) % candidates];
+        for (int k = 0; k < candidateCount || anyEligible; k++) {
+            UpstreamState upstream = locality.members[(locality.rotationCursor + k) % candidateCount];
             double speed = speed(upstream);
             if ((pass.ignoresLoad || upstream.inFlight <= maxInFlight * speed)
                     && (pass.allowsEjected || !upstream.ejected)
@@ -190,7 +190,7 @@
                 upstream.rotationCredit += speed / 2;
                 if (upstream.rotationCredit >= 1) {
                     upstream.rotationCredit--;
-                    locality.rotationCursor = (locality.rotationCursor + k + 1) % candidates;
+                    locality.rotationCursor = (locality.rotationCursor + k + 1) % candidateCount;
                     return upstream;
                 }
             }
@@ -230,8 +230,9 @@
      * calls as a fast one and respond late to all of them.
      *
      * <p>One of many balancers makes too few attempts to measure an upstream's latency. The typical latency of the class
-     * is used until the latency of the upstream is known. It also counts more the smaller this balancer's quota of
-     * the locality is, because the balancer's own attempts in flight then do not show where those of the others queue.
+     * is used until the latency of the upstream is known. The typical latency also counts more the smaller this balancer's
+     * quota of the locality is, because its own attempts in flight then do not show where the attempts of other balancers
+     * queue.
      */
     private double observedSpeed(UpstreamState upstream) {
         Locality locality = upstream.locality;
