--- a/balancer/src/main/java/gorsestack/admin/ProcessPresence.java
+++ b/balancer/src/main/java/gorsestack/admin/ProcessPresence.java
@@ -9,11 +9,12 @@
 
 /**
  * Shows which processes of one balancer run and which of them accept clients, by locks on byte ranges of a file that stays empty. The
- * operating system releases the locks of a process when it ends, even after a crash. Used by {@link Handover} on the handover's thread and,
- * when this process starts and when it starts or stops accepting clients, on the caller's thread.
+ * operating system releases the locks of a process when it ends, even after a crash. Used by {@link Handover} and
+ * {@link SharedStateFile} on the handover's thread and, when this process starts and when it starts or stops accepting clients, on the
+ * caller's thread.
  *
- * <p>Each process owns a slot of two bytes, in the order in which the processes started. The first byte is locked while the process runs,
- * the second one while it accepts clients. One byte behind all slots is a mutex for writes to the shared state file.
+ * <p>Each process owns a slot of two bytes, in the order in which the processes opened the lock file. The first byte is locked while the
+ * process runs, the second one while it accepts clients. One byte behind all slots is a mutex for writes to the shared state file.
  */
 final class ProcessPresence {
     private static final long SLOT_BYTES = 2;
@@ -21,7 +22,7 @@
     private static final long SLOTS_END = 1L << 40;
     /** Offset of the byte that is locked during writes to the shared state file. */
     private static final long WRITE_LOCK = SLOTS_END;
-    /** Number of bytes before and after this process's slot that are searched for a process that accepts clients. */
+    /** Distance from the start of this process's slot, in bytes, within which slots are searched for a process that accepts clients. */
     private static final long SEARCHED_BYTES = 16;
 
     private final Path lockFile;
@@ -36,14 +37,14 @@
         this.lockFile = lockFile;
     }
 
-    /** Opens the lock file and locks the next free slot for this process. */
+    /** Opens the lock file and locks the first slot behind all locked ones for this process. */
     void open() throws IOException {
         FileChannel channel = FileChannel.open(
                 lockFile, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         lockChannel = channel;
         // Without the write lock, two processes that start at once would take the same slot.
         try (FileLock writing = lockForWriting()) {
-            slot = firstFreeSlot();
+            slot = slotBehindLocked();
             lockChannel.lock(slot, 1, false);
         } catch (IOException e) {
             lockChannel = null;
@@ -61,22 +62,22 @@
         return lockChannel.lock(WRITE_LOCK, 1, false);
     }
 
-    /** Returns whether a process that started earlier runs. */
+    /** Returns whether a process that opened the lock file earlier runs. */
     boolean predecessorRuns() {
         return slot > 0 && isLocked(0, slot);
     }
 
-    /** Returns whether a process that started later runs. */
+    /** Returns whether a process that opened the lock file later runs. */
     boolean successorRuns() {
         return isLocked(nextSlot(), SLOTS_END);
     }
 
-    /** Returns whether a process that started earlier accepts clients. */
+    /** Returns whether a process that opened the lock file earlier accepts clients. */
     boolean predecessorAccepts() {
         return anyAccepts(Math.max(0, slot - SEARCHED_BYTES), slot);
     }
 
-    /** Returns whether a process that started later accepts clients. */
+    /** Returns whether a process that opened the lock file later accepts clients. */
     boolean successorAccepts() {
         return anyAccepts(nextSlot(), slot + SEARCHED_BYTES);
     }
@@ -98,7 +99,7 @@
     }
 
     /** Returns the offset of the first slot behind all locked ones. */
-    private long firstFreeSlot() throws IOException {
+    private long slotBehindLocked() throws IOException {
         long low = 0;
         long high = SLOTS_END;
         while (low < high) {
--- a/balancer/src/main/java/gorsestack/cli/StatusReport.java
+++ b/balancer/src/main/java/gorsestack/cli/StatusReport.java
@@ -26,7 +26,7 @@
      * Requests the status from the admin listener and prints it.
      *
      * @param address the address of the admin listener, as address:port
-     * @param json whether to print the status as one JSON object rather than one line for each field
+     * @param json whether to print the status as one JSON object rather than one line for each field, or for each field of an object
      * @return the exit code: 0 if the balancer is ready, 1 if it is not, 2 if no status is received from it
      */
     public static int show(String address, boolean json, PrintStream out, PrintStream err) throws InterruptedException {
--- a/balancer/src/main/java/gorsestack/server/JvmWarmUp.java
+++ b/balancer/src/main/java/gorsestack/server/JvmWarmUp.java
@@ -101,7 +101,7 @@
      */
     static void exerciseSockets(Network network, EventLoop eventLoop, InetSocketAddress ownAddress, long maxNanos) {
         CountDownLatch remaining = new CountDownLatch(CONNECTIONS);
-        eventLoop.execute(() -> new HealthCheck(network, ownAddress, remaining, CONNECTIONS).start());
+        eventLoop.execute(() -> new HealthCheckConnection(network, ownAddress, remaining, CONNECTIONS).start());
         try {
             remaining.await(maxNanos, TimeUnit.NANOSECONDS);
         } catch (InterruptedException e) {
@@ -110,7 +110,7 @@
     }
 
     /** Sends health checks over one connection and opens the next one when it closes; on the event loop's thread. */
-    private static final class HealthCheck implements ConnectionHandler {
+    private static final class HealthCheckConnection implements ConnectionHandler {
         private final Network network;
         private final InetSocketAddress ownAddress;
         private final CountDownLatch remaining;
@@ -119,7 +119,8 @@
         private int checks;
         private boolean closed;
 
-        HealthCheck(Network network, InetSocketAddress ownAddress, CountDownLatch remaining, int remainingConnections) {
+        HealthCheckConnection(
+                Network network, InetSocketAddress ownAddress, CountDownLatch remaining, int remainingConnections) {
             this.network = network;
             this.ownAddress = ownAddress;
             this.remaining = remaining;
@@ -154,7 +155,7 @@
                 closed = true;
                 remaining.countDown();
                 if (remainingConnections > 1) {
-                    new HealthCheck(network, ownAddress, remaining, remainingConnections - 1).start();
+                    new HealthCheckConnection(network, ownAddress, remaining, remainingConnections - 1).start();
                 }
             }
         }
--- a/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
+++ b/balancer/src/main/java/gorsestack/wire/MinaNetwork.java
@@ -18,7 +18,9 @@
 
 /**
  * Implements the sockets with Apache MINA: an acceptor for each listener and one connector on one processor, each on a thread of its own
- * named "io". MINA's callbacks run on the processor's thread and pass everything to the event loop, in the order in which it was read.
+ * named "io". MINA's callbacks for a session run on the processor's thread and pass everything to the event loop, in the order in which it
+ * was read. The callback of a failed connect may run on another thread, such as the connector's; it passes the failure to the event loop
+ * too.
  */
 public final class MinaNetwork implements Network {
     private static final String HANDLER = "handler";
@@ -128,19 +130,19 @@
         });
     }
 
-    /** Receives MINA's callbacks on the processor's thread and calls the handlers on the event loop's thread. */
+    /** Receives MINA's callbacks for sessions on the processor's thread and calls their handlers on the event loop's thread. */
     private final class SessionCallbacks extends IoHandlerAdapter {
         /** Creates the handler of an accepted connection; null for connections that this side opens. */
-        private final Supplier<ConnectionHandler> handlers;
+        private final Supplier<ConnectionHandler> handlerFactory;
 
-        SessionCallbacks(Supplier<ConnectionHandler> handlers) {
-            this.handlers = handlers;
+        SessionCallbacks(Supplier<ConnectionHandler> handlerFactory) {
+            this.handlerFactory = handlerFactory;
         }
 
         @Override
         public void sessionCreated(IoSession session) {
-            if (handlers != null) {
-                session.setAttribute(HANDLER, handlers.get());
+            if (handlerFactory != null) {
+                session.setAttribute(HANDLER, handlerFactory.get());
             }
         }
 
--- a/balancer/src/test/java/gorsestack/recovery/PeerLearnedStateTest.java
+++ b/balancer/src/test/java/gorsestack/recovery/PeerLearnedStateTest.java
@@ -9,7 +9,7 @@
 
 /** Guards against concurrency limits that are too high after a restart, because they came from another zone or from a single peer. */
 class PeerLearnedStateTest {
-    private final PeerLearnedState own = new PeerLearnedState(List.of("a", "b"));
+    private final PeerLearnedState collected = new PeerLearnedState(List.of("a", "b"));
 
     private static List<LearnedLocality> learned(double limit) {
         return List.of(LearnedLocality.ofRow(limit, 0.2, 0.1, 9, 3), LearnedLocality.ofRow(2 * limit, 0.4, 0.2, 9, 3));
@@ -17,9 +17,9 @@
 
     @Test
     void mergesLowestLimitAndMeanLatencyRatios() {
-        own.add(own.withZoneHashes(learned(5)));
-        own.add(own.withZoneHashes(List.of(LearnedLocality.ofRow(4, 0.4, 0.3, 9))));
-        List<LearnedLocality> merged = own.merged();
+        collected.add(collected.withZoneHashes(learned(5)));
+        collected.add(collected.withZoneHashes(List.of(LearnedLocality.ofRow(4, 0.4, 0.3, 9))));
+        List<LearnedLocality> merged = collected.merged();
         assertEquals(2, merged.size());
         assertEquals(4, merged.get(0).concurrencyLimit());
         assertEquals(0.3, merged.get(0).latencyRatio(), 1e-9);
@@ -30,14 +30,14 @@
 
     @Test
     void ignoresStateOfPeersInOtherZones() {
-        PeerLearnedState other = new PeerLearnedState(List.of("b", "a"));
-        own.add(other.withZoneHashes(learned(5)));
-        own.add(List.of());
-        assertTrue(own.isEmpty());
-        own.add(own.withZoneHashes(learned(5)));
-        assertTrue(!own.isEmpty());
-        own.clear();
-        assertTrue(own.isEmpty());
+        PeerLearnedState ofPeerInZoneB = new PeerLearnedState(List.of("b", "a"));
+        collected.add(ofPeerInZoneB.withZoneHashes(learned(5)));
+        collected.add(List.of());
+        assertTrue(collected.isEmpty());
+        collected.add(collected.withZoneHashes(learned(5)));
+        assertTrue(!collected.isEmpty());
+        collected.clear();
+        assertTrue(collected.isEmpty());
     }
 
     @Test
